--- a/src/main/java/umberrun/fleet/sim/FleetTrial.java
+++ b/src/main/java/umberrun/fleet/sim/FleetSimulation.java
@@ -11,15 +11,15 @@
 import java.util.function.ToIntFunction;
 import java.util.random.RandomGenerator;
 import umberrun.fleet.About;
-import umberrun.fleet.Change;
+import umberrun.fleet.MembershipChange;
 import umberrun.fleet.Claim;
-import umberrun.fleet.Life;
+import umberrun.fleet.ProcessGeneration;
 import umberrun.fleet.Membership;
-import umberrun.fleet.Message;
-import umberrun.fleet.Outbox;
+import umberrun.fleet.GossipMessage;
+import umberrun.fleet.MembershipOutbox;
 import umberrun.fleet.Peer;
-import umberrun.fleet.Settings;
-import umberrun.fleet.Timer;
+import umberrun.fleet.MembershipSettings;
+import umberrun.fleet.MembershipTimer;
 import umberrun.sim.VirtualNetwork;
 
 /**
@@ -27,23 +27,23 @@
  * seed or a caller, and checks after each step. A broken check names what broke and when; the seed
  * plays it again.
  */
-public final class FleetTrial {
+public final class FleetSimulation {
   /** Makes a membership; tests put in ones that are broken on purpose. */
-  public interface Maker {
+  public interface Factory {
     Membership make(
-        Settings settings,
+        MembershipSettings settings,
         String name,
         long startId,
         About about,
         RandomGenerator random,
-        Outbox out);
+        MembershipOutbox out);
   }
 
   /** A check that does not hold. */
-  public static final class Broken extends RuntimeException {
+  public static final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Broken(String message) {
+    InvariantViolation(String message) {
       super(message);
     }
   }
@@ -59,11 +59,11 @@
   private static final int SELDOM = 64;
 
   /** One machine, and the process on it where one runs. */
-  private final class Node implements Outbox {
+  private final class Node implements MembershipOutbox {
     final int number;
     String name;
-    final Map<Timer, VirtualNetwork.Step> timers = new HashMap<>();
-    final Map<String, Life> newest = new HashMap<>();
+    final Map<MembershipTimer, VirtualNetwork.ScheduledTask> timers = new HashMap<>();
+    final Map<String, ProcessGeneration> newest = new HashMap<>();
     Membership process;
 
     Node(int number) {
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void send(String address, Message message) {
+    public void send(String address, GossipMessage message) {
       Integer to = numbers.get(address);
       packets++;
       bytes += size == null ? 0 : size.applyAsInt(message);
@@ -110,7 +110,7 @@
       }
     }
 
-    private void hear(Message message) {
+    private void hear(GossipMessage message) {
       if (process != null) {
         process.receive(clock(), message);
         check(this);
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void start(Timer timer, long at) {
+    public void start(MembershipTimer timer, long at) {
       cancel(timer);
       Membership p = process;
       timers.put(
@@ -178,15 +178,15 @@
     }
 
     @Override
-    public void cancel(Timer timer) {
-      VirtualNetwork.Step before = timers.remove(timer);
+    public void cancel(MembershipTimer timer) {
+      VirtualNetwork.ScheduledTask before = timers.remove(timer);
       if (before != null) {
         before.cancel();
       }
     }
 
     @Override
-    public void changed(Change c) {
+    public void changed(MembershipChange c) {
       Integer who = numbers.get(c.claim().about().address());
       boolean well =
           who != null
@@ -194,9 +194,9 @@
               && !net.isPaused(who)
               && !net.isCut()
               && nodes[who].process.self().life().equals(c.claim().life());
-      if (c.kind() == Change.Kind.SUSPECTED && well && c.by().equals(name)) {
+      if (c.kind() == MembershipChange.Kind.SUSPECTED && well && c.by().equals(name)) {
         wrongSuspicions++;
-      } else if (c.kind() == Change.Kind.DIED) {
+      } else if (c.kind() == MembershipChange.Kind.DIED) {
         wrongDeaths +=
             well && buried.add(c.claim().name() + c.claim().life() + c.claim().incarnation())
                 ? 1
@@ -208,14 +208,14 @@
     }
   }
 
-  private final Settings settings;
+  private final MembershipSettings settings;
   private final SplittableRandom random;
   private final VirtualNetwork net;
-  private final Maker maker;
+  private final Factory maker;
   private final Node[] nodes;
   private final Map<String, Integer> numbers = new HashMap<>();
   private final long[] killedAt;
-  private ToIntFunction<Message> size;
+  private ToIntFunction<GossipMessage> size;
   private int slow = -1;
   private long checks;
   private boolean checked = true;
@@ -229,7 +229,7 @@
   /**
    * A fleet of {@code size} machines, all of which start at once and are told of the first three.
    */
-  public FleetTrial(int size, Settings settings, long seed, Maker maker) {
+  public FleetSimulation(int size, MembershipSettings settings, long seed, Factory maker) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
     this.maker = maker;
@@ -252,8 +252,8 @@
   }
 
   /** The settings of a trial: the first three machines are named in the list. */
-  public static Settings settings(int size) {
-    return Settings.usual("trial", List.of(address(0), address(1), address(2)), size);
+  public static MembershipSettings settings(int size) {
+    return MembershipSettings.usual("trial", List.of(address(0), address(1), address(2)), size);
   }
 
   // ---------------------------------------------------------------- faults
@@ -264,7 +264,7 @@
 
   public void kill(int node) {
     nodes[node].process = null;
-    nodes[node].timers.values().forEach(VirtualNetwork.Step::cancel);
+    nodes[node].timers.values().forEach(VirtualNetwork.ScheduledTask::cancel);
     net.clear(node);
     killedAt[node] = net.now();
   }
@@ -318,7 +318,7 @@
   // ---------------------------------------------------------------- what is seen
 
   /** Counts bytes too, by what a message takes. */
-  public void measure(ToIntFunction<Message> sizeOf) {
+  public void measure(ToIntFunction<GossipMessage> sizeOf) {
     size = sizeOf;
   }
 
@@ -406,7 +406,7 @@
   /** Runs until all agree; how long that took, or -1 where they do not within {@code most}. */
   public long settle(long most) {
     long begun = net.now();
-    long step = Math.max(10 * Settings.MS, most / 400);
+    long step = Math.max(10 * MembershipSettings.MS, most / 400);
     while (net.now() - begun <= most) {
       if (isSettled()) {
         return net.now() - begun;
@@ -434,9 +434,9 @@
     int living = 0;
     for (Peer p : n.process.peers()) {
       Claim c = p.claim();
-      Life before = n.newest.put(c.name(), c.life());
+      ProcessGeneration before = n.newest.put(c.name(), c.life());
       if (before != null && before.compareTo(c.life()) > 0) {
-        throw new Broken(n.name + " went back from life " + before + " to " + c);
+        throw new InvariantViolation(n.name + " went back from life " + before + " to " + c);
       }
       living +=
           c.isLiving() && !c.name().equals(n.name)
@@ -444,15 +444,15 @@
               : 0; // who has yielded keeps the one it yielded to
       if (p.since() > n.clock()
           || c.status() == Claim.Status.SUSPECT != p.accusers().iterator().hasNext()) {
-        throw new Broken(n.name + " is at odds with itself about " + c);
+        throw new InvariantViolation(n.name + " is at odds with itself about " + c);
       }
     }
     if (living != n.process.living()) {
-      throw new Broken(n.name + " counts " + n.process.living() + " that live and holds " + living);
+      throw new InvariantViolation(n.name + " counts " + n.process.living() + " that live and holds " + living);
     }
     if (n.process.peers().size() > settings.members()
         || n.process.queued() > settings.members() + 1) {
-      throw new Broken(n.name + " exceeds its bounds");
+      throw new InvariantViolation(n.name + " exceeds its bounds");
     }
   }
 }
--- a/src/main/java/umberrun/front/CallFields.java
+++ b/src/main/java/umberrun/front/CallFields.java
@@ -3,7 +3,7 @@
 import io.vertx.core.buffer.Buffer;
 import saddlestall.Dispatcher.Effect;
 import saddlestall.Dispatcher.Settings;
-import umberrun.core.Request.Figures;
+import umberrun.core.Request.ResourceHints;
 
 /** Reading of the fields that both fronts take, by the same rules. */
 public final class CallFields {
@@ -59,11 +59,11 @@
   }
 
   /** The further figures, as {@code name:value;name:value}; what is unknown is passed over. */
-  public static Figures figures(String info) throws BadField {
+  public static ResourceHints figures(String info) throws BadField {
     if (info == null || info.isEmpty()) {
-      return Figures.NONE;
+      return ResourceHints.NONE;
     }
-    double lanes = Figures.NONE.lanes();
+    double lanes = ResourceHints.NONE.lanes();
     double memory = 0;
     double load = 0;
     for (String pair : info.split(";")) {
@@ -76,7 +76,7 @@
         default -> {}
       }
     }
-    return new Figures(lanes, memory, Math.round(load * 1_000));
+    return new ResourceHints(lanes, memory, Math.round(load * 1_000));
   }
 
   private static double figure(String pair, int colon, double most) throws BadField {
--- a/src/main/java/umberrun/front/invoke/InvokeFront.java
+++ b/src/main/java/umberrun/front/invoke/InvokeServer.java
@@ -22,15 +22,15 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import saddlestall.Dispatcher.CallClass;
-import umberrun.admission.Account;
-import umberrun.admission.Account.Use;
+import umberrun.admission.ConnectionLimits;
+import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.config.Config.Names;
 import umberrun.core.Clock;
-import umberrun.core.Duty;
+import umberrun.core.Lifecycle;
 import umberrun.core.Invocation;
-import umberrun.core.Invocations;
-import umberrun.core.Invocations.KeyReused;
-import umberrun.core.Owner;
+import umberrun.core.InvocationRegistry;
+import umberrun.core.InvocationRegistry.KeyReused;
+import umberrun.core.DispatchLoop;
 import umberrun.core.Request;
 import umberrun.core.Result;
 import umberrun.front.CallFields;
@@ -39,7 +39,7 @@
 import umberrun.stats.Counters.Count;
 
 /** The invoke API over HTTP/1.1: decodes a call, hands it on, encodes its one answer. */
-public final class InvokeFront {
+public final class InvokeServer {
   private static final Pattern INVOKE = Pattern.compile("/v1/functions/([^/]+)/invocations");
   private static final Pattern COLLECT = Pattern.compile("/v1/invocations/([^/]+)");
   private static final int IDLE_SECONDS = 75;
@@ -56,29 +56,29 @@
 
   private final Vertx vertx;
   private final HttpServer server;
-  private final Owner owner;
-  private final Invocations invocations;
+  private final DispatchLoop owner;
+  private final InvocationRegistry invocations;
   private final Counters counters;
   private final Names names;
-  private final Account account;
+  private final ConnectionLimits account;
   private final SecureRandom random = new SecureRandom();
 
   /** Connections on which no request has come yet, with the timer of each, the oldest first. */
   private final Map<HttpConnection, Long> silent = new LinkedHashMap<>();
 
   private final Set<HttpConnection> all = new LinkedHashSet<>();
-  private final Duty duty;
+  private final Lifecycle duty;
   private final Clock clock;
 
-  public InvokeFront(
+  public InvokeServer(
       Vertx vertx,
-      Owner owner,
-      Invocations invocations,
+      DispatchLoop owner,
+      InvocationRegistry invocations,
       Counters counters,
       Names names,
-      Duty duty,
+      Lifecycle duty,
       Clock clock,
-      Account account) {
+      ConnectionLimits account) {
     this.vertx = vertx;
     this.duty = duty;
     this.clock = clock;
@@ -98,8 +98,8 @@
                 .setHttp2ClearTextEnabled(false));
     server.connectionHandler(
         c -> {
-          if (!account.open(Use.INVOKE)
-              && !(makeRoom() && account.open(Use.INVOKE))) { // guards what the rest needs
+          if (!account.open(Purpose.INVOKE)
+              && !(makeRoom() && account.open(Purpose.INVOKE))) { // guards what the rest needs
             c.close();
             return;
           }
@@ -152,7 +152,7 @@
   private void forget(HttpConnection c) {
     spoke(c);
     if (all.remove(c)) {
-      account.close(Use.INVOKE);
+      account.close(Purpose.INVOKE);
     }
   }
 
@@ -271,7 +271,7 @@
   }
 
   private void submit(HttpServerRequest request, String function, Buffer body) throws Problem {
-    Preferences preferences = Preferences.of(request.headers());
+    PreferHeader preferences = PreferHeader.of(request.headers());
     try {
       Request call = call(request, function, body, preferences);
       if (!duty.takes(clock.now())) {
@@ -298,7 +298,7 @@
    * Invoke-Figures}.
    */
   private Request call(
-      HttpServerRequest request, String function, Buffer body, Preferences preferences)
+      HttpServerRequest request, String function, Buffer body, PreferHeader preferences)
       throws BadField {
     int callClass = names.classes().indexOf(header(request, "Invoke-Class"));
     if (callClass < 0) {
@@ -349,7 +349,7 @@
       invocations.giveUp(i);
       request.response().setStatusCode(204).end();
     } else {
-      poll(request, i, Preferences.of(request.headers()).waitMillis());
+      poll(request, i, PreferHeader.of(request.headers()).waitMillis());
     }
   }
 
--- a/src/main/java/umberrun/front/invoke/Preferences.java
+++ b/src/main/java/umberrun/front/invoke/PreferHeader.java
@@ -5,9 +5,9 @@
 /**
  * What a {@code Prefer} header asks for (RFC 7240); preferences that we don't know are passed over.
  */
-record Preferences(boolean async, long waitMillis) {
+record PreferHeader(boolean async, long waitMillis) {
 
-  static Preferences of(MultiMap headers) throws Problem {
+  static PreferHeader of(MultiMap headers) throws Problem {
     boolean async = false;
     long wait = -1;
     for (String header : headers.getAll("Prefer")) {
@@ -20,7 +20,7 @@
         }
       }
     }
-    return new Preferences(async, wait);
+    return new PreferHeader(async, wait);
   }
 
   private static long seconds(String text) throws Problem {
--- a/src/main/java/umberrun/front/rpc/RpcConnection.java
+++ b/src/main/java/umberrun/front/rpc/RpcConnection.java
@@ -34,7 +34,7 @@
   /** What a newcomer wants to say may still be on its way when clients are let go of. */
   private static final long NEWCOMER_MICROS = 1_000_000;
 
-  private final RpcFront front;
+  private final RpcServer front;
   private final NetSocket socket;
   private final RpcDecoder decoder = new RpcDecoder(this::message);
   private final Map<Long, Call> open = new HashMap<>();
@@ -59,7 +59,7 @@
 
   private boolean awaitsRest;
 
-  RpcConnection(RpcFront front, NetSocket socket) {
+  RpcConnection(RpcServer front, NetSocket socket) {
     this.front = front;
     this.socket = socket;
     this.openedAt = front.now();
--- a/src/main/java/umberrun/front/rpc/RpcFront.java
+++ b/src/main/java/umberrun/front/rpc/RpcServer.java
@@ -13,12 +13,12 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Function;
-import umberrun.admission.Account;
-import umberrun.admission.Account.Use;
+import umberrun.admission.ConnectionLimits;
+import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.config.Config.Names;
 import umberrun.core.Clock;
-import umberrun.core.Duty;
-import umberrun.core.Owner;
+import umberrun.core.Lifecycle;
+import umberrun.core.DispatchLoop;
 import umberrun.core.Request;
 import umberrun.front.CallFields;
 import umberrun.front.CallFields.BadField;
@@ -29,7 +29,7 @@
  * The platform's protocol, MessagePack-RPC over TCP: decodes a call, hands it on, encodes its one
  * answer.
  */
-public final class RpcFront {
+public final class RpcServer {
   private static final int BACKLOG = 1_024;
 
   /** What the loop accepts in three turns; whoever writes at once has been read by then. */
@@ -38,12 +38,12 @@
   private static final double MOST_BUDGET_MILLIS = 600_000;
 
   private final Vertx vertx;
-  private final Owner owner;
+  private final DispatchLoop owner;
   private final Counters counters;
   private final Names names;
-  private final Duty duty;
+  private final Lifecycle duty;
   private final Clock clock;
-  private final Account account;
+  private final ConnectionLimits account;
   private final long mostQueued;
   private long queued;
   private final Set<RpcConnection> all = new LinkedHashSet<>();
@@ -57,14 +57,14 @@
   private Runnable whenEmpty;
   private Runnable whenQuiet;
 
-  public RpcFront(
+  public RpcServer(
       Vertx vertx,
-      Owner owner,
+      DispatchLoop owner,
       Counters counters,
       Names names,
-      Duty duty,
+      Lifecycle duty,
       Clock clock,
-      Account account,
+      ConnectionLimits account,
       long mostQueued) {
     this.mostQueued = mostQueued;
     this.vertx = vertx;
@@ -155,7 +155,7 @@
     }
   }
 
-  Duty duty() {
+  Lifecycle duty() {
     return duty;
   }
 
@@ -167,7 +167,7 @@
     return vertx;
   }
 
-  Owner owner() {
+  DispatchLoop owner() {
     return owner;
   }
 
@@ -176,7 +176,7 @@
   }
 
   private void accept(NetSocket socket) {
-    if (account.open(Use.CLIENTS)) {
+    if (account.open(Purpose.CLIENTS)) {
       admit(socket);
       return;
     }
@@ -185,7 +185,7 @@
     socket.pause();
     vertx.runOnContext(
         v -> {
-          if (account.open(Use.CLIENTS) || makeRoom() && account.open(Use.CLIENTS)) {
+          if (account.open(Purpose.CLIENTS) || makeRoom() && account.open(Purpose.CLIENTS)) {
             admit(socket);
             socket.resume();
           } else { // guards the descriptors that the workers' links need
@@ -227,7 +227,7 @@
 
   void closed(RpcConnection connection) {
     all.remove(connection);
-    account.close(Use.CLIENTS);
+    account.close(Purpose.CLIENTS);
     silent.remove(connection);
     idle.remove(connection);
     if (all.isEmpty() && whenEmpty != null) {
--- a/src/main/java/umberrun/handover/Handover.java
+++ b/src/main/java/umberrun/handover/Handover.java
@@ -13,10 +13,10 @@
 import java.util.function.Consumer;
 import java.util.function.UnaryOperator;
 import umberrun.core.Clock;
-import umberrun.core.Owner;
-import umberrun.handover.Ledger.Other;
-import umberrun.handover.Ledger.State;
-import umberrun.learning.net.Exchange;
+import umberrun.core.DispatchLoop;
+import umberrun.handover.HandoverStore.Other;
+import umberrun.handover.HandoverStore.State;
+import umberrun.learning.net.FactExchange;
 
 /**
  * What two processes of one front end tell each other while one replaces the other: the workers
@@ -45,8 +45,8 @@
   private static final long MOST_LEASES_AGE = 2_000_000;
 
   private final Vertx vertx;
-  private final Owner owner;
-  private final Ledger ledger;
+  private final DispatchLoop owner;
+  private final HandoverStore ledger;
   private final Clock clock;
   private final Consumer<String> log;
   private final Consumer<Boolean> company;
@@ -61,9 +61,9 @@
    */
   private Handover(
       Vertx vertx,
-      Owner owner,
+      DispatchLoop owner,
       Clock clock,
-      Ledger ledger,
+      HandoverStore ledger,
       Consumer<String> log,
       Consumer<Boolean> company) {
     this.vertx = vertx;
@@ -77,13 +77,13 @@
   /** Takes over what a process before this one left in a folder; done once that holds here. */
   public static Future<Handover> open(
       Vertx vertx,
-      Owner owner,
+      DispatchLoop owner,
       Clock clock,
       Path folder,
       Consumer<String> log,
       Consumer<Boolean> company) {
     return vertx
-        .executeBlocking(() -> new Ledger(folder, UUID.randomUUID().toString(), log))
+        .executeBlocking(() -> new HandoverStore(folder, UUID.randomUUID().toString(), log))
         .compose(
             ledger -> {
               Handover h = new Handover(vertx, owner, clock, ledger, log, company);
@@ -164,7 +164,7 @@
         .compose(
             facts -> {
               String page =
-                  Exchange.page(owner.origin(), 0, facts, 0, MOST_FACT_BYTES, clock.now());
+                  FactExchange.page(owner.origin(), 0, facts, 0, MOST_FACT_BYTES, clock.now());
               return vertx.executeBlocking(
                   () -> {
                     ledger.leaveFacts(page);
@@ -235,7 +235,7 @@
               if (left == null || left.age() > MOST_FACT_AGE) {
                 return Future.succeededFuture();
               }
-              return Exchange.hear(owner, left.page(), clock.now(), left.age())
+              return FactExchange.hear(owner, left.page(), clock.now(), left.age())
                   .onSuccess(
                       used ->
                           log.accept(
--- a/src/main/java/umberrun/handover/Ledger.java
+++ b/src/main/java/umberrun/handover/HandoverStore.java
@@ -26,7 +26,7 @@
  * it keeps locked while it lives (a process number may be used again; a lock ends with its
  * process). Blocks; used by one thread at a time.
  */
-final class Ledger {
+final class HandoverStore {
   /**
    * What operators have said of workers: since when each is out, and when each came back, in Unix
    * microseconds.
@@ -67,7 +67,7 @@
 
   private Object lastSeen;
 
-  Ledger(Path folder, String id, Consumer<String> log) throws IOException {
+  HandoverStore(Path folder, String id, Consumer<String> log) throws IOException {
     this.folder = Files.createDirectories(folder);
     this.self = PROCESS + id;
     this.log = log;
--- a/src/main/java/umberrun/learning/Screen.java
+++ b/src/main/java/umberrun/learning/FactFilter.java
@@ -7,13 +7,13 @@
  * What hearsay may not do: the own list and the operators' bans always win over a fact, whatever
  * its age.
  */
-public final class Screen {
+public final class FactFilter {
   /**
    * What the own list and bans say of a worker.
    *
    * @param since when it last started, as told, 0 for long past
    */
-  public record Standing(State state, long since) {}
+  public record WorkerStatus(State state, long since) {}
 
   private final long coldSpan;
   private final long most;
@@ -22,7 +22,7 @@
    * @param coldSpan how long after its start a worker may be cold
    * @param most age of a fact that is of any use
    */
-  public Screen(long coldSpan, long most) {
+  public FactFilter(long coldSpan, long most) {
     this.coldSpan = coldSpan;
     this.most = most;
   }
@@ -31,7 +31,7 @@
    * Whether a fact may be believed; {@code standing} is null where the list does not name its
    * worker.
    */
-  public boolean admits(Fact fact, Standing standing, long now) {
+  public boolean admits(Fact fact, WorkerStatus standing, long now) {
     if (now - fact.seenAt() > most) {
       return false;
     }
--- a/src/main/java/umberrun/learning/Calibration.java
+++ b/src/main/java/umberrun/learning/FactHalfLife.java
@@ -10,7 +10,7 @@
  * that held tells that it lasted at least so long and one that did not that it ended within that
  * time, so that the rate is the number refuted over the sum of ages.
  */
-public final class Calibration {
+public final class FactHalfLife {
   /** What the prior half-life weighs as: so many facts seen refuted. */
   private static final double PRIOR = 8;
 
@@ -29,7 +29,7 @@
   /**
    * @param prior half-lives to begin with, in microseconds
    */
-  public Calibration(Map<Kind, Long> prior) {
+  public FactHalfLife(Map<Kind, Long> prior) {
     for (Kind kind : Kind.values()) {
       Tally t = new Tally();
       t.ages = PRIOR * prior.get(kind) / LN2;
--- a/src/main/java/umberrun/learning/Page.java
+++ b/src/main/java/umberrun/learning/FactPage.java
@@ -18,12 +18,12 @@
  * @param uptime how long it has run, in microseconds: one that has just started knows little
  * @param next where the next page begins, or -1 for none
  */
-public record Page(String epoch, long uptime, long next, List<Fact> facts) {
+public record FactPage(String epoch, long uptime, long next, List<Fact> facts) {
   /** A page that can't be used; the message says why. */
-  public static final class Unusable extends Exception {
+  public static final class UnusablePage extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unusable(String message) {
+    UnusablePage(String message) {
       super(message, null, false, false);
     }
   }
@@ -74,11 +74,11 @@
    * was written. Fields that are not known here are passed over, a fact that can't be read is left
    * out.
    */
-  public static Page read(String text, long now, long took) throws Unusable {
+  public static FactPage read(String text, long now, long took) throws UnusablePage {
     try {
       JsonObject o = JsonParser.parseString(text).getAsJsonObject();
       if (o.get("v").getAsInt() != FORM) {
-        throw new Unusable("form " + o.get("v") + " is not known");
+        throw new UnusablePage("form " + o.get("v") + " is not known");
       }
       List<Fact> facts = new ArrayList<>();
       for (JsonElement e : o.getAsJsonArray("facts")) {
@@ -87,7 +87,7 @@
           facts.add(f);
         }
       }
-      return new Page(
+      return new FactPage(
           o.get("epoch").getAsString(),
           1_000 * o.get("uptime_ms").getAsLong(),
           o.get("next").getAsLong(),
@@ -98,7 +98,7 @@
         | NumberFormatException
         | NullPointerException
         | ClassCastException e) {
-      throw new Unusable("not a page: " + e.getMessage());
+      throw new UnusablePage("not a page: " + e.getMessage());
     }
   }
 
--- a/src/main/java/umberrun/learning/Knowledge.java
+++ b/src/main/java/umberrun/learning/FactStore.java
@@ -12,14 +12,14 @@
  * What this instance saw and heard: for each subject the fact that was seen last. Bounded; free of
  * I/O.
  */
-public final class Knowledge {
+public final class FactStore {
   private final int most;
   private final Map<Subject, Fact> facts = new HashMap<>();
 
   /**
    * @param most facts kept; beyond that the ones seen longest ago go
    */
-  public Knowledge(int most) {
+  public FactStore(int most) {
     this.most = most;
   }
 
--- a/src/main/java/umberrun/learning/net/Learning.java
+++ b/src/main/java/umberrun/learning/net/FactClient.java
@@ -20,8 +20,8 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import umberrun.core.Clock;
-import umberrun.core.Owner;
-import umberrun.learning.Page;
+import umberrun.core.DispatchLoop;
+import umberrun.learning.FactPage;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
@@ -29,7 +29,7 @@
  * Asks running instances what they know, before this one says that it is ready. Whatever peers do,
  * be silent, slow, endless or wrong, it is over at one deadline.
  */
-public final class Learning {
+public final class FactClient {
   /**
    * What the operator's file says.
    *
@@ -68,7 +68,7 @@
 
   private final Vertx vertx;
   private final HttpClient client;
-  private final Owner owner;
+  private final DispatchLoop owner;
   private final Clock clock;
   private final Counters counters;
   private final Settings settings;
@@ -91,9 +91,9 @@
    * @param members gives, once they are known, those who live now, the nearest first; null where
    *     nobody can tell
    */
-  public Learning(
+  public FactClient(
       Vertx vertx,
-      Owner owner,
+      DispatchLoop owner,
       Clock clock,
       Counters counters,
       Settings settings,
@@ -234,7 +234,7 @@
                 .setMethod(HttpMethod.GET)
                 .setURI(
                     "/v1/knowledge?v="
-                        + Page.FORM
+                        + FactPage.FORM
                         + "&from="
                         + from
                         + (within == SNAPSHOT ? "" : "&within_ms=" + within))
@@ -247,10 +247,10 @@
                       .isComplete()) { // too late: calls are taken on other beliefs by now
                 return Future.succeededFuture();
               }
-              Page page;
+              FactPage page;
               try {
-                page = Page.read(body.toString(), clock.now(), clock.now() - asked);
-              } catch (Page.Unusable e) {
+                page = FactPage.read(body.toString(), clock.now(), clock.now() - asked);
+              } catch (FactPage.UnusablePage e) {
                 return Future.failedFuture(e);
               }
               counters.add(Count.PAGES_USED);
--- a/src/main/java/umberrun/learning/net/PeerServer.java
+++ b/src/main/java/umberrun/learning/net/FactServer.java
@@ -9,14 +9,14 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.Comparator;
 import java.util.List;
-import umberrun.admission.Account;
-import umberrun.admission.Account.Use;
-import umberrun.admission.Budget;
+import umberrun.admission.ConnectionLimits;
+import umberrun.admission.ConnectionLimits.Purpose;
+import umberrun.admission.TokenBucket;
 import umberrun.core.Clock;
-import umberrun.core.Owner;
+import umberrun.core.DispatchLoop;
 import umberrun.learning.Fact;
-import umberrun.learning.Page;
-import umberrun.learning.net.Learning.Settings;
+import umberrun.learning.FactPage;
+import umberrun.learning.net.FactClient.Settings;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
@@ -24,7 +24,7 @@
  * Answers other instances that ask what this one knows, at a listener of its own and within a
  * budget. Calls come first: while this machine is late nobody is answered but with a refusal.
  */
-public final class PeerServer {
+public final class FactServer {
   private static final int IDLE_SECONDS = 5;
   private static final int MOST_HEAD = 2_048;
 
@@ -33,24 +33,24 @@
 
   private static final long BUSY_MICROS = 1_000_000;
 
-  private final Owner owner;
+  private final DispatchLoop owner;
   private final Clock clock;
   private final Counters counters;
   private final Settings settings;
-  private final Account account;
+  private final ConnectionLimits account;
   private final HttpServer server;
-  private final Budget budget;
+  private final TokenBucket budget;
   private final long startedAt;
   private List<Fact> snapshot = List.of();
   private long snapshotAt = Long.MIN_VALUE / 2;
 
-  public PeerServer(
+  public FactServer(
       Vertx vertx,
-      Owner owner,
+      DispatchLoop owner,
       Clock clock,
       Counters counters,
       Settings settings,
-      Account account) {
+      ConnectionLimits account) {
     this.account = account;
     this.owner = owner;
     this.clock = clock;
@@ -58,7 +58,7 @@
     this.settings = settings;
     this.startedAt = clock.now();
     this.budget =
-        new Budget(
+        new TokenBucket(
             settings.bytesPerSecond(),
             Math.max(settings.bytesPerSecond(), settings.pageBytes()),
             startedAt);
@@ -74,11 +74,11 @@
                 .setIdleTimeout(IDLE_SECONDS));
     server.connectionHandler(
         c -> {
-          if (!account.open(Use.PEERS)) { // guards the descriptors: peers can ask somebody else
+          if (!account.open(Purpose.PEERS)) { // guards the descriptors: peers can ask somebody else
             c.close();
             return;
           }
-          c.closeHandler(v -> account.close(Use.PEERS));
+          c.closeHandler(v -> account.close(Purpose.PEERS));
         });
     server.requestHandler(this::handle);
   }
@@ -94,8 +94,8 @@
     }
     long from = number(request.getParam("from"), 0);
     long within = number(request.getParam("within_ms"), Long.MAX_VALUE / 4_000);
-    if (number(request.getParam("v"), -1) != Page.FORM || from < 0 || within < 0) {
-      request.response().setStatusCode(400).end("only v=" + Page.FORM + " is spoken here\n");
+    if (number(request.getParam("v"), -1) != FactPage.FORM || from < 0 || within < 0) {
+      request.response().setStatusCode(400).end("only v=" + FactPage.FORM + " is spoken here\n");
       return;
     }
     long wait = owner.isOnTime() ? budget.take(settings.pageBytes(), clock.now()) : BUSY_MICROS;
@@ -119,7 +119,7 @@
                   .response()
                   .putHeader("Content-Type", "application/json")
                   .end(
-                      Page.write(
+                      FactPage.write(
                           owner.origin(),
                           now - startedAt,
                           wanted,
--- a/src/main/java/umberrun/lease/Candidacy.java
+++ b/src/main/java/umberrun/lease/CandidateRanking.java
@@ -10,7 +10,7 @@
  * lets one have it. A holder that is fit keeps its duty whoever comes, so that nothing flaps. Free
  * of I/O, threads and clocks.
  */
-public final class Candidacy {
+public final class CandidateRanking {
   /**
    * A front end that might take a duty.
    *
@@ -33,7 +33,7 @@
 
   private static final int MOST_TURNS = 10;
 
-  private Candidacy() {}
+  private CandidateRanking() {}
 
   /**
    * The place of one among all that might take a duty, from 0; the size of the list where it is not
--- a/src/main/java/umberrun/lease/Fences.java
+++ b/src/main/java/umberrun/lease/FenceRegistry.java
@@ -9,7 +9,7 @@
  * stood there, so that no act of a lower fence is taken after a restart either, without a disk.
  * Free of I/O.
  */
-public final class Fences {
+public final class FenceRegistry {
   private final Map<String, Long> highest = new HashMap<>();
 
   /** The register of a duty was read, and has this fence. */
--- a/src/main/java/umberrun/lease/HallWatch.java
+++ b/src/main/java/umberrun/lease/HallHealthMonitor.java
@@ -13,7 +13,7 @@
  * silent or gone, who is much slower than the others, and who is back. Free of I/O, threads and
  * clocks; times are in microseconds.
  */
-public final class HallWatch {
+public final class HallHealthMonitor {
   /**
    * What was seen of a worker.
    *
@@ -21,7 +21,7 @@
    * @param bad share of bad outcomes: 0 or 1 here
    * @param seenAt when it was asked, as it was so then at the latest
    */
-  public record Reading(String worker, double pace, double bad, long seenAt) {}
+  public record HealthReading(String worker, double pace, double bad, long seenAt) {}
 
   /** What is known of one worker. */
   private static final class Seen {
@@ -55,7 +55,7 @@
   /**
    * @param every between two questions to one worker
    */
-  public HallWatch(long every) {
+  public HallHealthMonitor(long every) {
     this.every = every;
   }
 
@@ -125,8 +125,8 @@
   }
 
   /** What has changed since it was asked for last. */
-  public List<Reading> news() {
-    List<Reading> out = new ArrayList<>();
+  public List<HealthReading> news() {
+    List<HealthReading> out = new ArrayList<>();
     workers.forEach(
         (name, s) -> {
           if (s.news) {
@@ -138,8 +138,8 @@
   }
 
   /** What is known now of all that were asked. */
-  public List<Reading> all() {
-    List<Reading> out = new ArrayList<>();
+  public List<HealthReading> all() {
+    List<HealthReading> out = new ArrayList<>();
     workers.forEach(
         (name, s) -> {
           if (s.seenAt > 0 && (s.answers > 0 || s.failing)) {
@@ -149,8 +149,8 @@
     return out;
   }
 
-  private Reading reading(String name, Seen s) {
-    return new Reading(name, s.slow ? pace(s) : 1, s.failing ? 1 : 0, s.seenAt);
+  private HealthReading reading(String name, Seen s) {
+    return new HealthReading(name, s.slow ? pace(s) : 1, s.failing ? 1 : 0, s.seenAt);
   }
 
   /** Workers held to fail now. */
--- a/src/main/java/umberrun/lease/Lease.java
+++ b/src/main/java/umberrun/lease/Lease.java
@@ -1,6 +1,6 @@
 package umberrun.lease;
 
-import umberrun.agreement.Value;
+import umberrun.consensus.RegisterValue;
 
 /**
  * Who holds a duty, as a register has it.
@@ -14,7 +14,7 @@
   static final Lease NONE = new Lease("", 0, 0, 0);
 
   /** What a register holds; fails with {@link IllegalArgumentException} where that is no lease. */
-  public static Lease read(Value v) {
+  public static Lease read(RegisterValue v) {
     if (v.text().isEmpty()) {
       return NONE;
     }
--- a/src/main/java/umberrun/lease/Claimant.java
+++ b/src/main/java/umberrun/lease/LeaseElector.java
@@ -2,15 +2,15 @@
 
 import java.util.function.UnaryOperator;
 import java.util.random.RandomGenerator;
-import umberrun.agreement.Proposer.Change;
-import umberrun.agreement.Value;
+import umberrun.consensus.Proposer.Change;
+import umberrun.consensus.RegisterValue;
 
 /**
  * One front end's part in one duty: watches who holds it, takes it when it is free, renews it,
  * gives it back. Free of I/O, threads and clocks; times are in microseconds of the own steady
  * clock. The argument for its safety is in {@code docs/leases.md}.
  */
-public class Claimant {
+public class LeaseElector {
   /**
    * Figures of all duties.
    *
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public Value apply(Value v) {
+    public RegisterValue apply(RegisterValue v) {
       made = v.version() == version;
       return made ? v.next(change.apply(Lease.read(v)).text()) : v;
     }
@@ -69,7 +69,7 @@
   private final long startId;
   private final RandomGenerator random;
   private final Outbox out;
-  private Value seen = Value.NONE;
+  private RegisterValue seen = RegisterValue.NONE;
   private long seenAt;
   private boolean known;
   private boolean fit = true;
@@ -82,7 +82,7 @@
   private long fence = -1;
   private long holdsUntil;
 
-  public Claimant(
+  public LeaseElector(
       Settings settings, String name, long startId, RandomGenerator random, Outbox out) {
     this.settings = settings;
     this.name = name;
@@ -191,7 +191,7 @@
    * Goes on where another of the same process is, for explorers; the change that it now waits for,
    * or null.
    */
-  public Change copyFrom(Claimant o) {
+  public Change copyFrom(LeaseElector o) {
     seen = o.seen;
     seenAt = o.seenAt;
     known = o.known;
@@ -274,7 +274,7 @@
   }
 
   /** A change is over: what the register held then, or null where that is not known. */
-  public void changed(long now, Value v) {
+  public void changed(long now, RegisterValue v) {
     asking = false;
     if (v == null
         || !isLease(
@@ -313,7 +313,7 @@
   }
 
   /** Guards against what was written by none of us: of such a register nobody takes anything. */
-  private static boolean isLease(Value v) {
+  private static boolean isLease(RegisterValue v) {
     try {
       return Lease.read(v) != null;
     } catch (IllegalArgumentException e) {
--- a/src/main/java/umberrun/lease/net/HeldDuty.java
+++ b/src/main/java/umberrun/lease/net/DutyRunner.java
@@ -6,23 +6,23 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongSupplier;
-import umberrun.agreement.Proposer;
-import umberrun.agreement.net.Registers;
+import umberrun.consensus.Proposer;
+import umberrun.consensus.net.RegisterManager;
 import umberrun.core.Clock;
-import umberrun.lease.Claimant;
-import umberrun.lease.Fences;
+import umberrun.lease.LeaseElector;
+import umberrun.lease.FenceRegistry;
 import umberrun.lease.Lease;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
-import umberrun.stats.Journal;
+import umberrun.stats.EventLog;
 
 /**
  * One duty in a front end: its claimant, carried over a way of its own to the registers, and what
  * is done while it is held.
  */
-public final class HeldDuty implements Claimant.Outbox {
+public final class DutyRunner implements LeaseElector.Outbox {
   /** What the holder does. */
-  public interface Work {
+  public interface DutyTask {
     /**
      * Held from now on; {@code mayAct} gives the fence, or -1, and is asked at the moment of each
      * act.
@@ -37,14 +37,14 @@
 
   final String name;
   final String hall;
-  final Claimant claimant;
+  final LeaseElector claimant;
   private final Vertx vertx;
   private final Clock clock;
   private final Counters counters;
-  private final Journal journal;
-  private final Registers.Way way;
-  private final Fences fences;
-  private final Work work;
+  private final EventLog journal;
+  private final RegisterManager.RegisterClient way;
+  private final FenceRegistry fences;
+  private final DutyTask work;
   private final Consumer<Boolean> told;
   private long timer = -1;
   private long fence = -1;
@@ -62,18 +62,18 @@
    * @param hall that it concerns, or empty
    * @param told is told when it was taken (true) or given back, so that others may look at once
    */
-  HeldDuty(
+  DutyRunner(
       String name,
       String hall,
       Vertx vertx,
       Clock clock,
       Counters counters,
-      Journal journal,
-      Registers.Way way,
-      Fences fences,
-      Work work,
+      EventLog journal,
+      RegisterManager.RegisterClient way,
+      FenceRegistry fences,
+      DutyTask work,
       Consumer<Boolean> told,
-      Function<Claimant.Outbox, Claimant> claimant) {
+      Function<LeaseElector.Outbox, LeaseElector> claimant) {
     this.name = name;
     this.hall = hall;
     this.vertx = vertx;
@@ -151,7 +151,7 @@
     way.change(REGISTER + name, change, until, this::over);
   }
 
-  private void over(umberrun.agreement.Value v) {
+  private void over(umberrun.consensus.RegisterValue v) {
     long before = claimant.seen().fence();
     boolean held = !claimant.seen().holder().isEmpty();
     if (v != null) {
--- a/src/main/java/umberrun/lease/net/Beacon.java
+++ b/src/main/java/umberrun/lease/net/FleetReporter.java
@@ -16,7 +16,7 @@
  * operators', by HTTP POST with its fence. A receiver that has seen a greater fence answers 409,
  * and the duty is let go of.
  */
-final class Beacon implements HeldDuty.Work {
+final class FleetReporter implements DutyRunner.DutyTask {
   private static final int PATIENCE_MILLIS = 1_000;
   private static final int REFUSED = 409;
 
@@ -30,7 +30,7 @@
   private long timer = -1;
   private long seq;
 
-  Beacon(
+  FleetReporter(
       Vertx vertx,
       SocketAddress to,
       long every,
--- a/src/main/java/umberrun/lease/net/HallProber.java
+++ b/src/main/java/umberrun/lease/net/HallProber.java
@@ -5,9 +5,9 @@
 import java.util.function.LongSupplier;
 import java.util.function.ObjLongConsumer;
 import umberrun.core.Clock;
-import umberrun.core.Owner;
-import umberrun.lease.HallWatch;
-import umberrun.lease.HallWatch.Reading;
+import umberrun.core.DispatchLoop;
+import umberrun.lease.HallHealthMonitor;
+import umberrun.lease.HallHealthMonitor.HealthReading;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
@@ -15,7 +15,7 @@
  * The duty {@code probe/HALL}: its holder asks the hall's workers how they are, and tells all front
  * ends what it finds.
  */
-final class HallProber implements HeldDuty.Work {
+final class HallProber implements DutyRunner.DutyTask {
   /** What has not changed is told this seldom. */
   private static final long ALL_MICROS = 2_000_000;
 
@@ -26,12 +26,12 @@
 
   private final Vertx vertx;
   private final Clock clock;
-  private final Owner owner;
+  private final DispatchLoop owner;
   private final Counters counters;
   private final int zone;
   private final long everyMillis;
-  private final ObjLongConsumer<List<Reading>> tell;
-  private HallWatch watch;
+  private final ObjLongConsumer<List<HealthReading>> tell;
+  private HallHealthMonitor watch;
   private long timer = -1;
   private long toldAt;
 
@@ -41,11 +41,11 @@
   HallProber(
       Vertx vertx,
       Clock clock,
-      Owner owner,
+      DispatchLoop owner,
       Counters counters,
       int zone,
       long everyMillis,
-      ObjLongConsumer<List<Reading>> tell) {
+      ObjLongConsumer<List<HealthReading>> tell) {
     this.vertx = vertx;
     this.clock = clock;
     this.owner = owner;
@@ -58,12 +58,12 @@
   @Override
   public void begin(LongSupplier mayAct) {
     end();
-    HallWatch mine = new HallWatch(everyMillis * MS);
+    HallHealthMonitor mine = new HallHealthMonitor(everyMillis * MS);
     watch = mine;
     timer = vertx.setPeriodic(Math.max(1, everyMillis / LOOKS), t -> look(mine, mayAct));
   }
 
-  private void look(HallWatch mine, LongSupplier mayAct) {
+  private void look(HallHealthMonitor mine, LongSupplier mayAct) {
     if (!owner.isOnTime()) {
       return; // calls come first
     }
@@ -85,7 +85,7 @@
     }
   }
 
-  private void tell(HallWatch mine, List<Reading> readings, LongSupplier mayAct) {
+  private void tell(HallHealthMonitor mine, List<HealthReading> readings, LongSupplier mayAct) {
     long fence = mine == watch ? mayAct.getAsLong() : -1;
     if (fence >= 0 && !readings.isEmpty()) {
       tell.accept(readings, fence);
--- a/src/main/java/umberrun/lease/net/LeasePart.java
+++ b/src/main/java/umberrun/lease/net/LeaseManager.java
@@ -17,32 +17,32 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
-import umberrun.agreement.Value;
-import umberrun.agreement.net.Registers;
+import umberrun.consensus.RegisterValue;
+import umberrun.consensus.net.RegisterManager;
 import umberrun.config.LeaseOptions;
 import umberrun.core.Clock;
-import umberrun.core.Duty;
-import umberrun.core.Owner;
+import umberrun.core.Lifecycle;
+import umberrun.core.DispatchLoop;
 import umberrun.fleet.About;
 import umberrun.fleet.Claim;
 import umberrun.fleet.Peer;
-import umberrun.fleet.net.FleetPart;
+import umberrun.fleet.net.FleetManager;
 import umberrun.learning.Fact;
-import umberrun.lease.Candidacy;
-import umberrun.lease.Candidacy.Candidate;
-import umberrun.lease.Claimant;
-import umberrun.lease.Fences;
-import umberrun.lease.HallWatch.Reading;
+import umberrun.lease.CandidateRanking;
+import umberrun.lease.CandidateRanking.Candidate;
+import umberrun.lease.LeaseElector;
+import umberrun.lease.FenceRegistry;
+import umberrun.lease.HallHealthMonitor.HealthReading;
 import umberrun.lease.Lease;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
-import umberrun.stats.Journal;
+import umberrun.stats.EventLog;
 
 /**
  * Duties by lease in a front end: wires the registers, the duties and the fleet's listener
  * together, on the one loop.
  */
-public final class LeasePart implements FleetPart.Guest {
+public final class LeaseManager implements FleetManager.TopicHandler {
   private static final String AGREEMENT = "agreement";
   private static final String TOPIC = "leases";
   private static final String PROBE = "probe/";
@@ -72,20 +72,20 @@
 
   private final Vertx vertx;
   private final Clock clock;
-  private final Owner owner;
+  private final DispatchLoop owner;
   private final Counters counters;
   private final LeaseOptions options;
-  private final FleetPart fleet;
+  private final FleetManager fleet;
   private final String hall;
-  private final Supplier<Duty.State> state;
-  private final Journal journal = new Journal("lease");
-  private final Fences fences = new Fences();
-  private final Registers registers;
-  private final Registers.Way reader;
-  private final Map<String, HeldDuty> duties = new LinkedHashMap<>();
+  private final Supplier<Lifecycle.State> state;
+  private final EventLog journal = new EventLog("lease");
+  private final FenceRegistry fences = new FenceRegistry();
+  private final RegisterManager registers;
+  private final RegisterManager.RegisterClient reader;
+  private final Map<String, DutyRunner> duties = new LinkedHashMap<>();
   private final long startId;
   private final SplittableRandom random;
-  private final Claimant.Settings settings;
+  private final LeaseElector.Settings settings;
   private boolean began;
   private boolean leaving;
   private Promise<Void> givenBack;
@@ -94,18 +94,18 @@
    * @param halls by zone
    * @param hall this front end's own
    */
-  public LeasePart(
+  public LeaseManager(
       Vertx vertx,
       Clock clock,
-      Owner owner,
+      DispatchLoop owner,
       Counters counters,
       LeaseOptions options,
-      FleetPart fleet,
+      FleetManager fleet,
       String fleetName,
       List<String> halls,
       String hall,
       long seed,
-      Supplier<Duty.State> state,
+      Supplier<Lifecycle.State> state,
       Consumer<String> log) {
     this.vertx = vertx;
     this.clock = clock;
@@ -120,13 +120,13 @@
             seed ^ System.nanoTime()); // a seed that comes again must not bring an old start id
     this.startId = random.nextLong() >>> 1;
     this.settings =
-        new Claimant.Settings(
+        new LeaseElector.Settings(
             options.lengthMillis() * MS,
             options.rate(),
             options.pauseMillis() * MS,
             options.lengthMillis() * MS / 2);
     this.registers =
-        new Registers(
+        new RegisterManager(
             vertx,
             clock,
             options,
@@ -135,7 +135,7 @@
             startId,
             counters,
             log,
-            new Registers.Post() {
+            new RegisterManager.Transport() {
               @Override
               public void send(String name, byte[] body) {
                 fleet.post(AGREEMENT, name, body);
@@ -170,7 +170,7 @@
       add(
           BEACON,
           "",
-          new Beacon(
+          new FleetReporter(
               vertx,
               options.beacon(),
               options.beaconMillis(),
@@ -180,7 +180,7 @@
     }
     fleet.host(
         AGREEMENT,
-        new FleetPart.Guest() {
+        new FleetManager.TopicHandler() {
           @Override
           public void parcel(String from, byte[] body) {
             try {
@@ -197,16 +197,16 @@
 
           @Override
           public void changed() {
-            LeasePart.this.changed();
+            LeaseManager.this.changed();
           }
         });
     fleet.host(TOPIC, this);
   }
 
-  private void add(String duty, String about, HeldDuty.Work work) {
+  private void add(String duty, String about, DutyRunner.DutyTask work) {
     duties.put(
         duty,
-        new HeldDuty(
+        new DutyRunner(
             duty,
             about,
             vertx,
@@ -217,16 +217,16 @@
             fences,
             work,
             taken -> changedHands(duty, taken),
-            out -> new Claimant(settings, fleet.name(), startId, random.split(), out)));
+            out -> new LeaseElector(settings, fleet.name(), startId, random.split(), out)));
   }
 
   /** The agreed registers, for parts that keep something there. */
-  public Registers registers() {
+  public RegisterManager registers() {
     return registers;
   }
 
   /** A duty that another part brings, before the fleet's listener is open. */
-  public void bring(String duty, HeldDuty.Work work) {
+  public void bring(String duty, DutyRunner.DutyTask work) {
     add(duty, "", work);
   }
 
@@ -255,7 +255,7 @@
   private void stand() {
     Map<String, Integer> held = new LinkedHashMap<>();
     duties.values().forEach(d -> held.merge(d.seen().holder(), 1, Integer::sum));
-    boolean fit = state.get() == Duty.State.SERVING && owner.isOnTime() && !fleet.hasYielded();
+    boolean fit = state.get() == Lifecycle.State.SERVING && owner.isOnTime() && !fleet.hasYielded();
     List<Candidate> all = new ArrayList<>();
     all.add(new Candidate(fleet.name(), hall, fit, held.getOrDefault(fleet.name(), 0)));
     for (Peer p : fleet.peers()) {
@@ -267,11 +267,11 @@
               c.status() == Claim.Status.ALIVE && c.about().state() == About.State.SERVING,
               held.getOrDefault(c.name(), 0)));
     }
-    for (HeldDuty d : duties.values()) {
+    for (DutyRunner d : duties.values()) {
       List<Candidate> willing =
           all.stream().filter(c -> c.name().equals(fleet.name()) || !d.rests(c.name())).toList();
-      int place = Candidacy.place(d.name, d.hall, fleet.name(), willing);
-      d.stand(fit && !leaving, place < Candidacy.CLOSE, Candidacy.delay(place));
+      int place = CandidateRanking.place(d.name, d.hall, fleet.name(), willing);
+      d.stand(fit && !leaving, place < CandidateRanking.CLOSE, CandidateRanking.delay(place));
     }
   }
 
@@ -298,7 +298,7 @@
 
   /** Votes no more: done once a successor can have the folder. */
   public Future<Void> close() {
-    duties.values().forEach(HeldDuty::close);
+    duties.values().forEach(DutyRunner::close);
     return registers.close();
   }
 
@@ -312,9 +312,9 @@
 
   // ---------------------------------------------------------------- what holders tell
 
-  private void tell(String duty, long fence, List<Reading> readings) {
+  private void tell(String duty, long fence, List<HealthReading> readings) {
     for (int from = 0; from < readings.size(); from += READINGS_A_PARCEL) {
-      List<Reading> part =
+      List<HealthReading> part =
           readings.subList(from, Math.min(readings.size(), from + READINGS_A_PARCEL));
       counters.add(Count.READINGS_SENT);
       heard(duty, fence, part, fleet.name());
@@ -333,14 +333,14 @@
             });
   }
 
-  private void heard(String duty, long fence, List<Reading> readings, String from) {
+  private void heard(String duty, long fence, List<HealthReading> readings, String from) {
     if (!fences.take(duty, fence)) {
       counters.add(Count.ACTS_REFUSED);
       return;
     }
     counters.add(Count.READINGS_TAKEN);
     List<Fact> facts = new ArrayList<>();
-    for (Reading r : readings) {
+    for (HealthReading r : readings) {
       facts.add(
           new Fact(
               new Fact.Subject(Fact.Kind.WORKER, r.worker(), 0),
@@ -352,7 +352,7 @@
   }
 
   /** Ages travel as durations. */
-  private byte[] word(int kind, String duty, long fence, List<Reading> readings) {
+  private byte[] word(int kind, String duty, long fence, List<HealthReading> readings) {
     long now = clock.now();
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packArrayHeader(4)
@@ -360,7 +360,7 @@
           .packString(duty)
           .packLong(fence)
           .packArrayHeader(readings.size());
-      for (Reading r : readings) {
+      for (HealthReading r : readings) {
         out.packArrayHeader(4)
             .packString(r.worker())
             .packFloat((float) r.pace())
@@ -387,11 +387,11 @@
         throw new IllegalArgumentException("too long");
       }
       long now = clock.now();
-      List<Reading> readings = new ArrayList<>();
+      List<HealthReading> readings = new ArrayList<>();
       for (int i = 0; i < n; i++) {
         in.unpackArrayHeader();
         readings.add(
-            new Reading(
+            new HealthReading(
                 in.unpackString(),
                 in.unpackFloat(),
                 in.unpackFloat(),
@@ -403,8 +403,8 @@
     }
   }
 
-  private void taken(String from, int kind, String duty, long fence, List<Reading> readings) {
-    HeldDuty d = duties.get(duty);
+  private void taken(String from, int kind, String duty, long fence, List<HealthReading> readings) {
+    DutyRunner d = duties.get(duty);
     if (d == null) {
       return; // none of ours
     }
@@ -418,7 +418,7 @@
     }
   }
 
-  private boolean release(HeldDuty d) {
+  private boolean release(DutyRunner d) {
     return d.release(rest());
   }
 
@@ -464,7 +464,7 @@
   }
 
   private String release(String duty) {
-    HeldDuty d = duties.get(duty);
+    DutyRunner d = duties.get(duty);
     if (d == null) {
       throw new IllegalStateException(
           "there is no duty " + duty + "; there are " + duties.keySet());
@@ -498,7 +498,7 @@
     return told.future();
   }
 
-  private static JsonObject register(String name, Value v) {
+  private static JsonObject register(String name, RegisterValue v) {
     JsonObject o = new JsonObject();
     o.addProperty("register", name);
     o.addProperty("version", v.version());
@@ -512,7 +512,7 @@
     o.addProperty("start", Long.toHexString(startId));
     JsonArray all = new JsonArray();
     long now = clock.now();
-    for (HeldDuty d : duties.values()) {
+    for (DutyRunner d : duties.values()) {
       JsonObject line = new JsonObject();
       Lease l = d.seen();
       line.addProperty("duty", d.name);
--- a/src/main/java/umberrun/lease/sim/LeaseWorld.java
+++ b/src/main/java/umberrun/lease/sim/LeaseModel.java
@@ -6,14 +6,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import umberrun.agreement.Message;
-import umberrun.agreement.Proposer;
-import umberrun.agreement.Value;
-import umberrun.agreement.Voter;
-import umberrun.agreement.sim.RegisterWorld;
-import umberrun.lease.Claimant;
-import umberrun.lease.Fences;
-import umberrun.sim.Explorer;
+import umberrun.consensus.ConsensusMessage;
+import umberrun.consensus.Proposer;
+import umberrun.consensus.RegisterValue;
+import umberrun.consensus.Voter;
+import umberrun.consensus.sim.RegisterModel;
+import umberrun.lease.LeaseElector;
+import umberrun.lease.FenceRegistry;
+import umberrun.sim.ModelChecker;
 
 /**
  * Three voters, two candidates for one duty and who receives its acts, with all orders and losses
@@ -23,7 +23,7 @@
  * but for those that have a voter accept something (others only keep a later try from its
  * majority).
  */
-public final class LeaseWorld implements Explorer.World {
+public final class LeaseModel implements ModelChecker.Model {
   /**
    * How often what may happen, in all.
    *
@@ -49,8 +49,8 @@
       int acts,
       int gives) {}
 
-  public static final Claimant.Settings SETTINGS =
-      new Claimant.Settings(6_000_000, 0.25, 0, 2_000_000);
+  public static final LeaseElector.Settings SETTINGS =
+      new LeaseElector.Settings(6_000_000, 0.25, 0, 2_000_000);
   private static final long TICK = 2_000_000;
   private static final long TRY = 1_000_000;
 
@@ -70,16 +70,16 @@
   private static final RandomGenerator SHORTEST = () -> 0L;
 
   /** A question, or an answer that is late, between one life of a candidate and a voter. */
-  private record Sent(int candidate, int life, int voter, Message message) {}
+  private record Sent(int candidate, int life, int voter, ConsensusMessage message) {}
 
-  private final class Candidate implements Claimant.Outbox, Proposer.Outbox {
+  private final class Candidate implements LeaseElector.Outbox, Proposer.Outbox {
     final int number;
     int life;
     long clock;
     long wakeAt;
     long retryAt;
     long until;
-    Claimant claimant;
+    LeaseElector claimant;
     Proposer proposer;
 
     Candidate(int number, int life) {
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public void send(String voter, Message m) {
+    public void send(String voter, ConsensusMessage m) {
       questions.add(new Sent(number, life, VOTERS.indexOf(voter), m));
     }
 
@@ -144,7 +144,7 @@
     }
 
     @Override
-    public void done(Value v) {
+    public void done(RegisterValue v) {
       retryAt = Long.MAX_VALUE;
       claimant.changed(clock, v);
     }
@@ -172,8 +172,8 @@
     }
   }
 
-  private final LeaseTrial.Maker maker;
-  private final LeaseTrial.Fault fault;
+  private final LeaseSimulation.Factory maker;
+  private final LeaseSimulation.Fault fault;
   private final Voter[] voters = new Voter[VOTERS.size()];
 
   /** What a crash leaves of each. */
@@ -183,7 +183,7 @@
   private final List<Sent> lateAnswers = new ArrayList<>();
   private final List<Long> acts = new ArrayList<>();
   private final Map<Long, String> holders = new HashMap<>();
-  private final Fences fences = new Fences();
+  private final FenceRegistry fences = new FenceRegistry();
   private final Candidate[] candidates = new Candidate[2];
   private final boolean steps;
   private int ticks;
@@ -196,7 +196,7 @@
   private long lastTaken = -1;
   private String wrong;
 
-  public LeaseWorld(Bounds bounds, LeaseTrial.Maker maker, LeaseTrial.Fault fault) {
+  public LeaseModel(Bounds bounds, LeaseSimulation.Factory maker, LeaseSimulation.Fault fault) {
     this.maker = maker;
     this.fault = fault;
     steps = bounds.steps;
@@ -218,7 +218,7 @@
     }
   }
 
-  private LeaseWorld(LeaseWorld o) {
+  private LeaseModel(LeaseModel o) {
     maker = o.maker;
     fault = o.fault;
     steps = o.steps;
@@ -246,8 +246,8 @@
   }
 
   @Override
-  public LeaseWorld copy() {
-    return new LeaseWorld(this);
+  public LeaseModel copy() {
+    return new LeaseModel(this);
   }
 
   /** What is on its way, what candidates do, faults, and time. */
@@ -265,7 +265,7 @@
   @Override
   public boolean take(int choice) {
     boolean taken = step(choice);
-    questions.removeIf(s -> (late == 0 || !(s.message instanceof Message.Accept)) && !isAwaited(s));
+    questions.removeIf(s -> (late == 0 || !(s.message instanceof ConsensusMessage.Accept)) && !isAwaited(s));
     lateAnswers.removeIf(s -> !isAwaited(s));
     return taken;
   }
@@ -350,7 +350,7 @@
   }
 
   private void receive(long fence) {
-    if (fences.take(REGISTER, fence) || fault == LeaseTrial.Fault.TAKES_OLD_FENCES) {
+    if (fences.take(REGISTER, fence) || fault == LeaseSimulation.Fault.TAKES_OLD_FENCES) {
       if (fence < lastTaken) {
         wrong = "an act of fence " + fence + " was taken after one of " + lastTaken;
       }
@@ -408,7 +408,7 @@
     }
     crashes--;
     voters[v] =
-        new Voter(fault == LeaseTrial.Fault.VOTES_WITHOUT_FOLDER ? Map.of() : synced.get(v), 1);
+        new Voter(fault == LeaseSimulation.Fault.VOTES_WITHOUT_FOLDER ? Map.of() : synced.get(v), 1);
     synced.set(v, voters[v].slots().isEmpty() ? Map.of() : synced.get(v));
     lateAnswers.removeIf(s -> s.voter == v); // with what was not synced
     return true;
@@ -417,15 +417,15 @@
   /** A question comes to its voter. What is answered late is on no disk until then. */
   private void ask(Sent s, boolean isLate) {
     Map<String, Voter.Slot> before =
-        fault == LeaseTrial.Fault.SKIPS_SYNC ? Map.copyOf(voters[s.voter].slots()) : null;
-    Voter.Step step = voters[s.voter].handle(s.message);
+        fault == LeaseSimulation.Fault.SKIPS_SYNC ? Map.copyOf(voters[s.voter].slots()) : null;
+    Voter.VoteResult step = voters[s.voter].handle(s.message);
     if (step == null) {
       return;
     }
     Sent answer = new Sent(s.candidate, s.life, s.voter, step.answer());
     if (isLate) {
       lateAnswers.add(answer);
-    } else if (fault == LeaseTrial.Fault.SKIPS_SYNC) {
+    } else if (fault == LeaseSimulation.Fault.SKIPS_SYNC) {
       synced.set(s.voter, before);
       deliver(answer);
     } else {
@@ -489,7 +489,7 @@
     to.append('/');
     all.stream()
         .filter(m -> m.voter == voter)
-        .map(m -> m.candidate + (isAwaited(m) ? "+" : "-") + RegisterWorld.text(m.message))
+        .map(m -> m.candidate + (isAwaited(m) ? "+" : "-") + RegisterModel.text(m.message))
         .sorted()
         .forEach(to::append);
   }
--- a/src/main/java/umberrun/lease/sim/LeaseTrial.java
+++ b/src/main/java/umberrun/lease/sim/LeaseSimulation.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import java.util.stream.IntStream;
-import umberrun.agreement.Message;
-import umberrun.agreement.Proposer;
-import umberrun.agreement.Value;
-import umberrun.agreement.Voter;
-import umberrun.lease.Claimant;
+import umberrun.consensus.ConsensusMessage;
+import umberrun.consensus.Proposer;
+import umberrun.consensus.RegisterValue;
+import umberrun.consensus.Voter;
+import umberrun.lease.LeaseElector;
 import umberrun.sim.VirtualNetwork;
 
 /**
@@ -19,15 +19,15 @@
  * After each step: one at most may act at any true time, and who receives the acts takes none of a
  * lower fence after one of a greater.
  */
-public final class LeaseTrial {
+public final class LeaseSimulation {
   /** Makes a claimant; tests put in ones that are broken on purpose. */
-  public interface Maker {
-    Claimant make(
-        Claimant.Settings settings,
+  public interface Factory {
+    LeaseElector make(
+        LeaseElector.Settings settings,
         String name,
         long startId,
         RandomGenerator random,
-        Claimant.Outbox out);
+        LeaseElector.Outbox out);
   }
 
   /** What is done wrong on purpose, to see that it is caught. */
@@ -39,16 +39,16 @@
   }
 
   /** A check that does not hold. */
-  public static final class Broken extends RuntimeException {
+  public static final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Broken(String message) {
+    InvariantViolation(String message) {
       super(message);
     }
   }
 
-  public static final Claimant.Settings USUAL =
-      new Claimant.Settings(3_000_000, 0.05, 0, 1_500_000);
+  public static final LeaseElector.Settings USUAL =
+      new LeaseElector.Settings(3_000_000, 0.05, 0, 1_500_000);
   private static final String REGISTER = "duty";
   private static final long TRY_MICROS = 600_000;
   private static final long SYNC_MICROS = 100_000;
@@ -70,8 +70,8 @@
       this.number = number;
     }
 
-    void receive(int from, Message m) {
-      Voter.Step step = voter == null ? null : voter.handle(m);
+    void receive(int from, ConsensusMessage m) {
+      Voter.VoteResult step = voter == null ? null : voter.handle(m);
       if (step == null) {
         return;
       }
@@ -80,7 +80,7 @@
       }
       Runnable answer =
           () ->
-              LeaseTrial.this.send(
+              LeaseSimulation.this.send(
                   number, from, () -> claims[from - voters.length].hear(number, step.answer()));
       if (fault == Fault.SKIPS_SYNC) {
         answer.run();
@@ -127,13 +127,13 @@
   }
 
   /** A claimant, its clock and its proposer. */
-  private final class Claims implements Claimant.Outbox, Proposer.Outbox {
+  private final class Claims implements LeaseElector.Outbox, Proposer.Outbox {
     final int number;
     final double rate;
-    Claimant claimant;
+    LeaseElector claimant;
     Proposer proposer;
-    VirtualNetwork.Step wake;
-    VirtualNetwork.Step wakeProposer;
+    VirtualNetwork.ScheduledTask wake;
+    VirtualNetwork.ScheduledTask wakeProposer;
     int life;
 
     Claims(int number, double rate) {
@@ -145,7 +145,7 @@
       return (long) (net.now() * rate) + number * 1_000_000_007L;
     }
 
-    private VirtualNetwork.Step after(long at, Runnable what) {
+    private VirtualNetwork.ScheduledTask after(long at, Runnable what) {
       int mine = life;
       return net.at(
           number,
@@ -177,13 +177,13 @@
           () -> {
             long fence = claimant.mayAct(clock());
             if (fence >= 0) {
-              LeaseTrial.this.send(number, -1, () -> accept(fence));
+              LeaseSimulation.this.send(number, -1, () -> accept(fence));
             }
             act();
           });
     }
 
-    void hear(int voter, Message m) {
+    void hear(int voter, ConsensusMessage m) {
       if (claimant != null) {
         proposer.receive(clock(), names.get(voter), m);
         check();
@@ -201,9 +201,9 @@
     }
 
     @Override
-    public void send(String voter, Message m) {
+    public void send(String voter, ConsensusMessage m) {
       int to = names.indexOf(voter);
-      LeaseTrial.this.send(number, to, () -> voters[to].receive(number, m));
+      LeaseSimulation.this.send(number, to, () -> voters[to].receive(number, m));
     }
 
     @Override
@@ -230,14 +230,14 @@
               });
     }
 
-    private static void cancel(VirtualNetwork.Step s) {
+    private static void cancel(VirtualNetwork.ScheduledTask s) {
       if (s != null) {
         s.cancel();
       }
     }
 
     @Override
-    public void done(Value v) {
+    public void done(RegisterValue v) {
       claimant.changed(clock(), v);
     }
 
@@ -255,8 +255,8 @@
 
   private final VirtualNetwork net;
   private final SplittableRandom random;
-  private final Claimant.Settings settings;
-  private final Maker maker;
+  private final LeaseElector.Settings settings;
+  private final Factory maker;
   private final Fault fault;
   private final List<String> names;
   private final Ballots[] voters;
@@ -265,12 +265,12 @@
   private long highest = -1;
   private long lastAccepted = -1;
 
-  public LeaseTrial(
+  public LeaseSimulation(
       int voterCount,
       int claimants,
-      Claimant.Settings settings,
+      LeaseElector.Settings settings,
       long seed,
-      Maker maker,
+      Factory maker,
       Fault fault) {
     this.random = new SplittableRandom(seed);
     this.net = new VirtualNetwork(voterCount + claimants, random.split());
@@ -379,7 +379,7 @@
       return;
     }
     if (fence < lastAccepted) {
-      throw new Broken(
+      throw new InvariantViolation(
           "an act of fence "
               + fence
               + " was taken after one of "
@@ -397,7 +397,7 @@
       holders += c.claimant != null && c.claimant.mayAct(c.clock()) >= 0 ? 1 : 0;
     }
     if (holders > 1) {
-      throw new Broken(holders + " may act at " + net.now());
+      throw new InvariantViolation(holders + " may act at " + net.now());
     }
   }
 
--- a/src/main/java/umberrun/ops/Door.java
+++ b/src/main/java/umberrun/ops/OperatorServer.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import umberrun.admission.Account;
-import umberrun.admission.Account.Use;
+import umberrun.admission.ConnectionLimits;
+import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
@@ -24,9 +24,9 @@
  * The operators' door: HTTP/1.1 at an address of their own, one call a connection. It decodes a
  * call, hands it on and answers yes or no; it decides nothing.
  */
-public final class Door {
+public final class OperatorServer {
   /** What operators may ask for; each answer is true once it holds, false for a no. */
-  public interface Verbs {
+  public interface OperatorCommands {
     boolean isReady();
 
     Future<Boolean> drain();
@@ -54,16 +54,16 @@
 
   private final Vertx vertx;
   private final HttpServer server;
-  private final Verbs verbs;
+  private final OperatorCommands verbs;
   private final Counters counters;
-  private final Account account;
+  private final ConnectionLimits account;
 
   /** Connections whose call is not whole yet, with the timer of each, the oldest first. */
   private final Map<HttpConnection, Long> silent = new LinkedHashMap<>();
 
   private final Set<HttpConnection> all = new HashSet<>();
 
-  public Door(Vertx vertx, Verbs verbs, Counters counters, Account account) {
+  public OperatorServer(Vertx vertx, OperatorCommands verbs, Counters counters, ConnectionLimits account) {
     this.vertx = vertx;
     this.verbs = verbs;
     this.counters = counters;
@@ -91,7 +91,7 @@
    * their places.
    */
   private void accept(HttpConnection c) {
-    if (!account.open(Use.DOOR) && !(makeRoom() && account.open(Use.DOOR))) {
+    if (!account.open(Purpose.DOOR) && !(makeRoom() && account.open(Purpose.DOOR))) {
       c.close();
       return;
     }
@@ -114,7 +114,7 @@
   private void forget(HttpConnection c) {
     spoke(c);
     if (all.remove(c)) {
-      account.close(Use.DOOR);
+      account.close(Purpose.DOOR);
     }
   }
 
--- a/src/main/java/umberrun/sim/Explorer.java
+++ b/src/main/java/umberrun/sim/ModelChecker.java
@@ -17,11 +17,11 @@
  * are told apart by 64 bits of their text, so that among ten million two share one with a chance of
  * one in 400,000.
  */
-public final class Explorer {
+public final class ModelChecker {
   /** A small world, of which every step is a choice. */
-  public interface World {
+  public interface Model {
     /** The same, to go on by itself. */
-    World copy();
+    Model copy();
 
     /** How many steps may be possible now, 127 at the most. */
     int choices();
@@ -40,9 +40,9 @@
   private static final int ROOTS = 256;
 
   /** A world and the steps that led to it. */
-  private record Course(World world, byte[] steps) {}
+  private record Course(Model world, byte[] steps) {}
 
-  private final World begin;
+  private final Model begin;
   private final int most;
   private final Set<Long> met = ConcurrentHashMap.newKeySet();
   private final AtomicInteger states = new AtomicInteger();
@@ -51,7 +51,7 @@
   /**
    * @param most states, after which it gives up
    */
-  public Explorer(World begin, int most) {
+  public ModelChecker(Model begin, int most) {
     this.begin = begin;
     this.most = most;
   }
@@ -93,7 +93,7 @@
   /** The courses one step longer that lead to states not met before. */
   private List<Course> expand(Course c) {
     List<Course> further = new ArrayList<>();
-    World w = c.world.copy();
+    Model w = c.world.copy();
     for (int choice = w.choices() - 1; choice >= 0; choice--) {
       if (!w.take(choice)) {
         continue; // nothing has changed: the next choice is tried on the same
--- a/src/main/java/umberrun/sim/VirtualNetwork.java
+++ b/src/main/java/umberrun/sim/VirtualNetwork.java
@@ -15,13 +15,13 @@
  */
 public final class VirtualNetwork {
   /** A wait that can be taken back. */
-  public static final class Step {
+  public static final class ScheduledTask {
     private final long at;
     private final long order;
     private final Runnable what;
     private boolean cancelled;
 
-    private Step(long at, long order, Runnable what) {
+    private ScheduledTask(long at, long order, Runnable what) {
       this.at = at;
       this.order = order;
       this.what = what;
@@ -35,7 +35,7 @@
   /** What a machine that stands still keeps of what arrives, as a socket's buffer does. */
   private static final int MOST_HELD = 200;
 
-  private final PriorityQueue<Step> steps =
+  private final PriorityQueue<ScheduledTask> steps =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private final RandomGenerator random;
@@ -84,15 +84,15 @@
   }
 
   /** Does something at a time, whatever stands still. */
-  public Step at(long when, Runnable what) {
-    Step s = new Step(Math.max(now, when), order++, what);
+  public ScheduledTask at(long when, Runnable what) {
+    ScheduledTask s = new ScheduledTask(Math.max(now, when), order++, what);
     steps.add(s);
     return s;
   }
 
   /** Does something on a machine at a time: once it goes on, where it stands still then. */
-  public Step at(int node, long when, Runnable what) {
-    Step[] self = new Step[1];
+  public ScheduledTask at(int node, long when, Runnable what) {
+    ScheduledTask[] self = new ScheduledTask[1];
     self[0] =
         at(
             when,
@@ -198,7 +198,7 @@
    */
   public boolean step(long end) {
     while (true) {
-      Step s = steps.peek();
+      ScheduledTask s = steps.peek();
       if (s == null || s.at > end) {
         now = Math.max(now, end);
         return false;
--- a/src/main/java/umberrun/stats/Journal.java
+++ b/src/main/java/umberrun/stats/EventLog.java
@@ -9,13 +9,13 @@
  * standard error, through SLF4J. Made, and with it the library loaded, only where a part that
  * writes them is on.
  */
-public final class Journal {
+public final class EventLog {
   private final Logger logger;
 
   /**
    * @param part whose lines they are
    */
-  public Journal(String part) {
+  public EventLog(String part) {
     logger = LoggerFactory.getLogger("umberrun." + part);
   }
 
--- a/src/main/java/umberrun/worker/Exchange.java
+++ b/src/main/java/umberrun/worker/PendingCommand.java
@@ -5,7 +5,7 @@
 import saddlestall.Dispatcher.Code;
 
 /** A command to a worker and the wait for its answer. Ends once: answered, lost, or its time up. */
-abstract class Exchange {
+abstract class PendingCommand {
   /** The id under which the answer comes. */
   final Buffer id;
 
@@ -14,7 +14,7 @@
   long writtenAt;
   long timer = -1;
 
-  Exchange(Buffer id, long deadline) {
+  PendingCommand(Buffer id, long deadline) {
     this.id = id;
     this.deadline = deadline;
   }
--- a/src/main/java/umberrun/worker/Fields.java
+++ b/src/main/java/umberrun/worker/ReplyFields.java
@@ -9,10 +9,10 @@
 import saddlestall.Dispatcher.Note;
 
 /** The fields of an answer: {@code name=value,name=value}, or {@code -} where there are none. */
-final class Fields {
+final class ReplyFields {
   private final Map<String, String> values = new HashMap<>();
 
-  Fields(Buffer text) {
+  ReplyFields(Buffer text) {
     for (String pair : text.toString().split(",")) {
       int equals = pair.indexOf('=');
       if (equals > 0) {
--- a/src/main/java/umberrun/worker/Link.java
+++ b/src/main/java/umberrun/worker/WorkerConnection.java
@@ -17,9 +17,9 @@
 import umberrun.core.Clock;
 
 /** One connection to a worker: what is out on it, and what waits to be written. */
-final class Link {
+final class WorkerConnection {
   /** Who a link belongs to. */
-  interface Home {
+  interface Listener {
     /**
      * Whether new work may still be written: false soon after the worker was told to drain or be
      * gone.
@@ -29,7 +29,7 @@
     /** New work was given back unwritten, since it may no longer start. */
     void withheld();
 
-    void closed(Link link);
+    void closed(WorkerConnection link);
   }
 
   private static final int QUEUE_BYTES = 64 << 10;
@@ -50,10 +50,10 @@
 
   private final Vertx vertx;
   private final Clock clock;
-  private final Home home;
+  private final Listener home;
   private final long idleMillis;
-  private final Map<Buffer, Exchange> out = new HashMap<>();
-  private final ArrayDeque<Exchange> waiting = new ArrayDeque<>();
+  private final Map<Buffer, PendingCommand> out = new HashMap<>();
+  private final ArrayDeque<PendingCommand> waiting = new ArrayDeque<>();
 
   /**
    * Ids of calls that may be tried again while an answer, or a second copy of it, may still come:
@@ -73,7 +73,7 @@
   /**
    * @param idleMillis after which it is closed while nothing is out on it; 0 for never
    */
-  Link(Vertx vertx, Clock clock, Home home, long idleMillis) {
+  WorkerConnection(Vertx vertx, Clock clock, Listener home, long idleMillis) {
     this.vertx = vertx;
     this.clock = clock;
     this.home = home;
@@ -176,7 +176,7 @@
     return heardAt;
   }
 
-  boolean accepts(Exchange x, int most) {
+  boolean accepts(PendingCommand x, int most) {
     return !closed
         && !retired
         && load() < most
@@ -185,7 +185,7 @@
         && waiting.stream().noneMatch(w -> w.id.equals(x.id));
   }
 
-  void submit(Exchange x) {
+  void submit(PendingCommand x) {
     long now = clock.now();
     cancelIdle();
     x.timer = vertx.setTimer(Math.max(1, (x.deadline - now + 999) / 1_000), t -> expired(x));
@@ -196,7 +196,7 @@
 
   /** Gives an exchange up before its time. */
   boolean withdraw(Buffer id, Code code) {
-    Exchange x = out.get(id);
+    PendingCommand x = out.get(id);
     if (x == null) {
       x = waiting.stream().filter(w -> w.id.equals(id)).findFirst().orElse(null);
     }
@@ -213,7 +213,7 @@
    */
   void retire() {
     retired = true;
-    List<Exchange> unsent = new ArrayList<>(waiting);
+    List<PendingCommand> unsent = new ArrayList<>(waiting);
     waiting.clear();
     unsent.forEach(x -> lose(x, Code.MOOT));
     closeIfIdle();
@@ -242,7 +242,7 @@
 
   private void flush() {
     while (socket != null && !closed && !waiting.isEmpty() && !socket.writeQueueFull()) {
-      Exchange x = waiting.poll();
+      PendingCommand x = waiting.poll();
       long now = clock.now();
       // Guards rule 3, and callers who have gone: what was queued before the worker drained, or
       // before its caller left.
@@ -267,7 +267,7 @@
     watchSilence(false);
   }
 
-  private void expired(Exchange x) {
+  private void expired(PendingCommand x) {
     x.timer = -1;
     boolean silent = x.written && heardAt < x.writtenAt;
     giveUp(x, Code.TIMEOUT);
@@ -277,7 +277,7 @@
     }
   }
 
-  private void giveUp(Exchange x, Code code) {
+  private void giveUp(PendingCommand x, Code code) {
     boolean written = out.remove(x.id) != null;
     waiting.remove(x);
     drop(x);
@@ -300,7 +300,7 @@
 
   private void answer(List<Buffer> parts) {
     heardAt = clock.now();
-    Exchange x = out.remove(parts.get(0));
+    PendingCommand x = out.remove(parts.get(0));
     if (x == null) {
       stale.remove(parts.get(0)); // the late answer of one that was given up
       return;
@@ -330,8 +330,8 @@
       // a worker that reads on when its commands have long been given up.
       handlers().close();
     }
-    List<Exchange> sent = new ArrayList<>(out.values());
-    List<Exchange> unsent = new ArrayList<>(waiting);
+    List<PendingCommand> sent = new ArrayList<>(out.values());
+    List<PendingCommand> unsent = new ArrayList<>(waiting);
     out.clear();
     waiting.clear();
     sent.forEach(x -> lose(x, code));
@@ -339,12 +339,12 @@
     home.closed(this);
   }
 
-  private void lose(Exchange x, Code code) {
+  private void lose(PendingCommand x, Code code) {
     drop(x);
     x.lost(code);
   }
 
-  private void drop(Exchange x) {
+  private void drop(PendingCommand x) {
     if (x.timer >= 0) {
       vertx.cancelTimer(x.timer);
       x.timer = -1;
--- a/src/main/java/umberrun/worker/WorkerPool.java
+++ b/src/main/java/umberrun/worker/WorkerPool.java
@@ -14,21 +14,21 @@
 import saddlestall.Dispatcher.Code;
 import saddlestall.Dispatcher.Settings;
 import saddlestall.Dispatcher.State;
-import umberrun.admission.Account;
-import umberrun.admission.Account.Use;
+import umberrun.admission.ConnectionLimits;
+import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.config.Config.Names;
 import umberrun.core.Attempt;
 import umberrun.core.Clock;
 import umberrun.core.Endpoint;
-import umberrun.core.LeaseGate;
-import umberrun.core.Order;
-import umberrun.core.Probing;
-import umberrun.core.WorkerPort;
+import umberrun.core.WorkerLeaseView;
+import umberrun.core.PreloadRequest;
+import umberrun.core.WorkerProbe;
+import umberrun.core.WorkerTransport;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
 /** The connections to all workers, and the commands that travel on them. */
-public final class WorkerPool implements WorkerPort {
+public final class WorkerPool implements WorkerTransport {
   private static final int MOST_LINKS_EACH = 8;
   private static final long PROBE_MICROS = 500_000;
   private static final double IDLE_PART = 0.8;
@@ -44,8 +44,8 @@
   private final Counters counters;
   private final Settings settings;
   private final Names names;
-  private final Account account;
-  private final LeaseGate leases;
+  private final ConnectionLimits account;
+  private final WorkerLeaseView leases;
   private final Map<Integer, Worker> workers = new HashMap<>();
   private long tag;
 
@@ -55,8 +55,8 @@
       Counters counters,
       Settings settings,
       Names names,
-      Account account,
-      LeaseGate leases) {
+      ConnectionLimits account,
+      WorkerLeaseView leases) {
     this.leases = leases;
     this.vertx = vertx;
     this.clock = clock;
@@ -73,11 +73,11 @@
   }
 
   /** One worker's address and connections. */
-  private final class Worker implements Link.Home {
+  private final class Worker implements WorkerConnection.Listener {
     private final int id;
     private Endpoint endpoint;
     private long stopAt = Long.MAX_VALUE;
-    private final List<Link> open = new ArrayList<>();
+    private final List<WorkerConnection> open = new ArrayList<>();
 
     Worker(int id) {
       this.id = id;
@@ -99,7 +99,7 @@
       if (moved
           || e.state()
               != State.READY) { // nothing new is sent there, and others need the descriptors
-        List.copyOf(open).forEach(Link::retire);
+        List.copyOf(open).forEach(WorkerConnection::retire);
       }
       if (stop <= clock.now()) {
         closeStuck();
@@ -125,13 +125,13 @@
      */
     private void closeStuck() {
       if (!mayStart(clock.now())) {
-        List.copyOf(open).stream().filter(Link::isStuck).forEach(Link::close);
+        List.copyOf(open).stream().filter(WorkerConnection::isStuck).forEach(WorkerConnection::close);
       }
     }
 
     @Override
-    public void closed(Link link) {
-      account.close(Use.LINKS);
+    public void closed(WorkerConnection link) {
+      account.close(Purpose.LINKS);
       open.remove(link);
       forgetIfGone();
     }
@@ -146,9 +146,9 @@
       }
     }
 
-    void submit(Exchange x) {
-      Link best = null;
-      for (Link l : open) {
+    void submit(PendingCommand x) {
+      WorkerConnection best = null;
+      for (WorkerConnection l : open) {
         if (l.accepts(x, names.streamsPerConnection())
             && (best == null || l.load() < best.load())) {
           best = l;
@@ -168,18 +168,18 @@
      * A place for one more link: a free one, or that of the link which has lain idle for longest.
      */
     private boolean takePlace() {
-      if (account.held(Use.LINKS) >= account.most(Use.LINKS)) {
+      if (account.held(Purpose.LINKS) >= account.most(Purpose.LINKS)) {
         workers.values().stream()
             .flatMap(w -> w.open.stream())
-            .filter(Link::isIdle)
-            .min(Comparator.comparingLong(Link::heardAt))
-            .ifPresent(Link::close);
+            .filter(WorkerConnection::isIdle)
+            .min(Comparator.comparingLong(WorkerConnection::heardAt))
+            .ifPresent(WorkerConnection::close);
       }
-      return account.open(Use.LINKS);
+      return account.open(Purpose.LINKS);
     }
 
-    private Link connect() {
-      Link link = new Link(vertx, clock, this, (long) (IDLE_PART * names.idleCloseMillis()));
+    private WorkerConnection connect() {
+      WorkerConnection link = new WorkerConnection(vertx, clock, this, (long) (IDLE_PART * names.idleCloseMillis()));
       open.add(link);
       counters.add(Count.WORKER_CONNECTIONS);
       client
@@ -208,7 +208,7 @@
     return workers.size();
   }
 
-  private void submit(int worker, Exchange x) {
+  private void submit(int worker, PendingCommand x) {
     Worker w = workers.get(worker);
     if (w == null) {
       x.lost(Code.CONNECT_FAILED);
@@ -223,7 +223,7 @@
   public void run(Attempt attempt) {
     submit(
         attempt.worker(),
-        new Exchange(attempt.request().rid(), attempt.deadline()) {
+        new PendingCommand(attempt.request().rid(), attempt.deadline()) {
           @Override
           Buffer command(long now) {
             Buffer fields =
@@ -250,7 +250,7 @@
 
           @Override
           boolean isSettledBy(List<Buffer> parts) {
-            return parts.size() > 1 && Fields.code(parts.get(1)) == Code.OK;
+            return parts.size() > 1 && ReplyFields.code(parts.get(1)) == Code.OK;
           }
 
           @Override
@@ -265,7 +265,7 @@
 
           @Override
           void lost(Code code) {
-            attempt.end(Ending.of(code));
+            attempt.end(AttemptResult.of(code));
           }
         });
   }
@@ -274,14 +274,14 @@
    * Guards against an answer without a body or fields: it is read as an error, which proves
    * nothing.
    */
-  private Ending ending(List<Buffer> parts) {
+  private AttemptResult ending(List<Buffer> parts) {
     if (parts.size() != 4) {
-      return Ending.of(Code.ERROR);
+      return AttemptResult.of(Code.ERROR);
     }
-    Fields f = new Fields(parts.get(2));
-    Code code = Fields.code(parts.get(1));
+    ReplyFields f = new ReplyFields(parts.get(2));
+    Code code = ReplyFields.code(parts.get(1));
     boolean counted = code == Code.OK || code == Code.FULL;
-    return new Ending(
+    return new AttemptResult(
         code,
         f.note(),
         counted ? f.count("depth") : -1,
@@ -301,10 +301,10 @@
   // ---------------------------------------------------------------- orders and probes
 
   @Override
-  public void hold(Order order) {
+  public void hold(PreloadRequest order) {
     submit(
         order.worker(),
-        new Exchange(nextTag(), clock.now() + names.orderMillis() * 1_000) {
+        new PendingCommand(nextTag(), clock.now() + names.orderMillis() * 1_000) {
           @Override
           Buffer command(long now) {
             return RespParser.command(
@@ -323,8 +323,8 @@
           @Override
           void answered(List<Buffer> parts) {
             order.end(
-                parts.size() < 2 ? Code.ERROR : Fields.code(parts.get(1)),
-                parts.size() < 3 ? 0 : new Fields(parts.get(2)).count("pods"));
+                parts.size() < 2 ? Code.ERROR : ReplyFields.code(parts.get(1)),
+                parts.size() < 3 ? 0 : new ReplyFields(parts.get(2)).count("pods"));
           }
 
           @Override
@@ -335,10 +335,10 @@
   }
 
   @Override
-  public void probe(Probing probing) {
+  public void probe(WorkerProbe probing) {
     submit(
         probing.worker(),
-        new Exchange(nextTag(), clock.now() + PROBE_MICROS) {
+        new PendingCommand(nextTag(), clock.now() + PROBE_MICROS) {
           @Override
           Buffer command(long now) {
             return RespParser.command(INFO, id);
@@ -351,7 +351,7 @@
                 alive ? Code.OK : Code.ERROR,
                 parts.size() < 3
                     ? null
-                    : new Fields(parts.get(2)).report(settings.report().fields()));
+                    : new ReplyFields(parts.get(2)).report(settings.report().fields()));
           }
 
           @Override
@@ -365,7 +365,7 @@
   public void free(int worker, Buffer function) {
     submit(
         worker,
-        new Exchange(nextTag(), clock.now() + PROBE_MICROS) {
+        new PendingCommand(nextTag(), clock.now() + PROBE_MICROS) {
           @Override
           Buffer command(long now) {
             return RespParser.command(FREE, function);
@@ -388,7 +388,7 @@
   public void closeIdle(int worker) {
     Worker w = workers.get(worker);
     if (w != null) {
-      List.copyOf(w.open).forEach(Link::closeIfIdle);
+      List.copyOf(w.open).forEach(WorkerConnection::closeIfIdle);
     }
   }
 
@@ -397,7 +397,7 @@
     Buffer body = Buffer.buffer(new byte[200]);
     Buffer fields = Buffer.buffer("n=w,depth=3");
     Buffer id = Buffer.buffer("0123456789abcdef");
-    RespParser parser = new RespParser(parts -> new Fields(parts.get(2)).note(), () -> {});
+    RespParser parser = new RespParser(parts -> new ReplyFields(parts.get(2)).note(), () -> {});
     for (int i = 0; i < answers; i++) {
       parser.handle(RespParser.command(id, Buffer.buffer("200"), fields, body));
     }
--- a/src/main/java/umberrun/roll/ChangeLog.java
+++ b/src/main/java/umberrun/workerlist/ChangeLogSource.java
@@ -1,8 +1,8 @@
-package umberrun.roll;
+package umberrun.workerlist;
 
-import static umberrun.roll.Json.number;
-import static umberrun.roll.Json.place;
-import static umberrun.roll.Json.text;
+import static umberrun.workerlist.JsonFields.number;
+import static umberrun.workerlist.JsonFields.place;
+import static umberrun.workerlist.JsonFields.text;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -18,22 +18,22 @@
 import umberrun.config.Config.Names;
 import umberrun.core.Clock;
 import umberrun.core.Endpoint;
-import umberrun.core.Owner;
+import umberrun.core.DispatchLoop;
 import umberrun.stats.Counters;
 
 /**
  * The platform's change log, asked again as soon as it has answered. A lost poll is repeated; the
  * list stays.
  */
-public final class ChangeLog implements Roll {
+public final class ChangeLogSource implements WorkerListSource {
   /** Short, since a log that stops is only noticed when the wait is over. */
   private static final long POLL_MILLIS = 1_000;
 
   /** The wait asked for while the log was not heard: whether it is back is to be known soon. */
   private static final long CHECK_MILLIS = 50;
 
-  private final Poller poller;
-  private final Owner owner;
+  private final LongPoller poller;
+  private final DispatchLoop owner;
   private final Clock clock;
   private final Names names;
   private final Counters counters;
@@ -42,10 +42,10 @@
   /** Whether the last poll that ended was answered. */
   private boolean answers;
 
-  public ChangeLog(
+  public ChangeLogSource(
       Vertx vertx,
       SocketAddress address,
-      Owner owner,
+      DispatchLoop owner,
       Clock clock,
       Names names,
       Counters counters) {
@@ -53,7 +53,7 @@
     this.clock = clock;
     this.names = names;
     this.counters = counters;
-    this.poller = new Poller(vertx, address, counters);
+    this.poller = new LongPoller(vertx, address, counters);
   }
 
   /** Takes the events that came with the configuration. */
@@ -74,7 +74,7 @@
             HttpMethod.GET,
             "/changes?since=" + seen + "&timeout=" + wait,
             Buffer.buffer(),
-            wait + Poller.LATE_MILLIS)
+            wait + LongPoller.LATE_MILLIS)
         .<Void>map(
             answer -> {
               JsonObject events = answer.json().getAsJsonObject();
@@ -94,7 +94,7 @@
         .onFailure(
             e -> {
               answers = false;
-              if (e instanceof Poller.BrokeOff) {
+              if (e instanceof LongPoller.ResponseAborted) {
                 owner.discovery().brokeOff();
               }
             });
@@ -110,7 +110,7 @@
       for (JsonElement e : results) {
         // One that can't be read is passed over, as a line is: guards the list against the same
         // event with each poll, for good.
-        Json.readable(
+        JsonFields.readable(
             () -> {
               take(e.getAsJsonObject().get("seq").getAsLong(), e.getAsJsonObject());
               return null;
@@ -127,7 +127,7 @@
     seen = Math.max(seen, seq);
     if (news && event.get("fleet") instanceof JsonObject fleet) {
       JsonArray lines = fleet.getAsJsonArray("endpoints");
-      List<Endpoint> endpoints = Json.each(lines, this::endpoint, counters);
+      List<Endpoint> endpoints = JsonFields.each(lines, this::endpoint, counters);
       // A whole list with a line that can't be read is not taken for whole: the worker in it would
       // be gone.
       boolean whole =
--- a/src/main/java/umberrun/roll/Consul.java
+++ b/src/main/java/umberrun/workerlist/ConsulSource.java
@@ -1,9 +1,9 @@
-package umberrun.roll;
+package umberrun.workerlist;
 
-import static umberrun.roll.Json.number;
-import static umberrun.roll.Json.object;
-import static umberrun.roll.Json.place;
-import static umberrun.roll.Json.text;
+import static umberrun.workerlist.JsonFields.number;
+import static umberrun.workerlist.JsonFields.object;
+import static umberrun.workerlist.JsonFields.place;
+import static umberrun.workerlist.JsonFields.text;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -25,7 +25,7 @@
 import umberrun.config.OperatorFile;
 import umberrun.core.Clock;
 import umberrun.core.Endpoint;
-import umberrun.core.Owner;
+import umberrun.core.DispatchLoop;
 import umberrun.stats.Counters;
 
 /**
@@ -34,7 +34,7 @@
  * critical instance drains, one that is absent is gone. The front end itself is registered with a
  * check on its health path.
  */
-public final class Consul implements Roll {
+public final class ConsulSource implements WorkerListSource {
   private static final String INDEX = "X-Consul-Index";
   private static final String FLEET = "fleet";
   private static final long SHORT_MILLIS = 2_000;
@@ -45,10 +45,10 @@
    */
   private static final long MOST_WAIT_MILLIS = 1_000;
 
-  private final Poller poller;
-  private final Owner owner;
+  private final LongPoller poller;
+  private final DispatchLoop owner;
   private final Names names;
-  private final OperatorFile.Consul settings;
+  private final OperatorFile.ConsulOptions settings;
   private final String id;
   private final SocketAddress invoke;
   private final Counters counters;
@@ -62,12 +62,12 @@
   /**
    * @param invoke where the invoke API listens, and so its health check
    */
-  public Consul(
+  public ConsulSource(
       Vertx vertx,
-      Owner owner,
+      DispatchLoop owner,
       Clock clock,
       Names names,
-      OperatorFile.Consul settings,
+      OperatorFile.ConsulOptions settings,
       String name,
       SocketAddress invoke,
       Counters counters) {
@@ -78,7 +78,7 @@
     this.id = settings.service() + "-" + name;
     this.invoke = invoke;
     this.counters = counters;
-    this.poller = new Poller(vertx, settings.agent(), counters);
+    this.poller = new LongPoller(vertx, settings.agent(), counters);
   }
 
   @Override
@@ -163,12 +163,12 @@
             HttpMethod.GET,
             "/v1/health/service/" + service + "?index=" + index + "&wait=" + waitMillis() + "ms",
             Buffer.buffer(),
-            waitMillis() + waitMillis() / 16 + Poller.LATE_MILLIS)
+            waitMillis() + waitMillis() / 16 + LongPoller.LATE_MILLIS)
         .compose(health -> take(service, health))
         .onSuccess(v -> owner.discovery().heard(askedAt));
   }
 
-  private Future<Void> take(String service, Poller.Answer health) {
+  private Future<Void> take(String service, LongPoller.Answer health) {
     long next = Long.parseLong(String.valueOf(health.response().getHeader(INDEX)));
     if (next == index) { // the wait ran out: nothing has changed
       return Future.succeededFuture();
@@ -198,7 +198,7 @@
     for (JsonElement e : catalogue.getAsJsonArray()) {
       entries.put(text(e.getAsJsonObject(), "ServiceID"), e.getAsJsonObject());
     }
-    return Json.each(
+    return JsonFields.each(
         health,
         instance -> {
           JsonObject service = object(instance, "Service");
--- a/src/main/java/umberrun/roll/Json.java
+++ b/src/main/java/umberrun/workerlist/JsonFields.java
@@ -1,4 +1,4 @@
-package umberrun.roll;
+package umberrun.workerlist;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -12,8 +12,8 @@
 import umberrun.stats.Counters.Count;
 
 /** Fields that may be absent, and names that settings give a position. */
-final class Json {
-  private Json() {}
+final class JsonFields {
+  private JsonFields() {}
 
   static String text(JsonObject o, String key) {
     return o.has(key) && !o.get(key).isJsonNull() ? o.get(key).getAsString() : "";
--- a/src/main/java/umberrun/roll/Poller.java
+++ b/src/main/java/umberrun/workerlist/LongPoller.java
@@ -1,4 +1,4 @@
-package umberrun.roll;
+package umberrun.workerlist;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonParseException;
@@ -27,13 +27,13 @@
  * own, and is given up a while later: a server that is slow is still heard, and one that has
  * forgotten a request is asked again. A round whose server has moved is given up at once.
  */
-final class Poller {
+final class LongPoller {
   /** One round: asks, and takes in what was answered. */
-  interface Round extends Supplier<Future<Void>> {}
+  interface Poll extends Supplier<Future<Void>> {}
 
   /** The answer had begun, and did not come to its end. */
-  static final class BrokeOff extends RuntimeException {
-    BrokeOff(Throwable cause) {
+  static final class ResponseAborted extends RuntimeException {
+    ResponseAborted(Throwable cause) {
       super(cause.getMessage(), cause, false, false);
     }
   }
@@ -67,7 +67,7 @@
 
   private Runnable retry;
 
-  Poller(Vertx vertx, SocketAddress address, Counters counters) {
+  LongPoller(Vertx vertx, SocketAddress address, Counters counters) {
     this.vertx = vertx;
     this.address = address;
     this.counters = counters;
@@ -80,17 +80,17 @@
    *
    * @param usualMillis after which a round in good order is over
    */
-  void repeat(long usualMillis, Round round) {
+  void repeat(long usualMillis, Poll round) {
     new Turn(usualMillis, round).begin();
   }
 
   /** One round of those that are repeated. */
   private final class Turn {
     private final long usualMillis;
-    private final Round round;
+    private final Poll round;
     private boolean hasSuccessor;
 
-    Turn(long usualMillis, Round round) {
+    Turn(long usualMillis, Poll round) {
       this.usualMillis = usualMillis;
       this.round = round;
     }
@@ -129,7 +129,7 @@
   }
 
   /** Carries a round out once, however many tries that takes. */
-  void once(Round round) {
+  void once(Poll round) {
     attempt(round)
         .onFailure(
             e -> {
@@ -159,7 +159,7 @@
   }
 
   /** Guards the polling against an answer of another form than expected: it counts as lost. */
-  private static Future<Void> attempt(Round round) {
+  private static Future<Void> attempt(Poll round) {
     return Future.<Void>succeededFuture().compose(v -> round.get());
   }
 
@@ -214,7 +214,7 @@
               asked.remove(answer);
               vertx.cancelTimer(timer);
             })
-        .recover(e -> Future.failedFuture(begun.get() ? new BrokeOff(e) : e));
+        .recover(e -> Future.failedFuture(begun.get() ? new ResponseAborted(e) : e));
   }
 
   /** The body, read to its end. Guards the memory against one that has none. */
--- a/src/main/java/umberrun/roll/Roll.java
+++ b/src/main/java/umberrun/workerlist/WorkerListSource.java
@@ -1,7 +1,7 @@
-package umberrun.roll;
+package umberrun.workerlist;
 
 /** A source of the list of workers; what it learns goes to the owner. */
-public interface Roll {
+public interface WorkerListSource {
   void start();
 
   /**
--- a/src/main/java/umberrun/works/Report.java
+++ b/src/main/java/umberrun/works/FrontEndReport.java
@@ -13,14 +13,14 @@
  * @param copies functions in use by the machines that hold them loaded, as far as it knows
  * @param taken calls that it took, and of those the refused, a second lately
  */
-public record Report(
+public record FrontEndReport(
     Ledger.Member member,
-    Map<String, Quiet> out,
+    Map<String, BanProgress> out,
     Set<String> resumed,
     Map<String, Integer> underWay,
     Map<String, Set<String>> copies,
     double taken,
     double refused) {
   /** A ban that holds at a front end, and how much it still has out there. */
-  public record Quiet(long ban, int out) {}
+  public record BanProgress(long ban, int out) {}
 }
--- a/src/main/java/umberrun/works/Order.java
+++ b/src/main/java/umberrun/works/MachineOrder.java
@@ -14,7 +14,7 @@
  * Which machine goes next: a pure function of the ledger, the reports and the machines as seen,
  * with its reasons, so that the same reports lead to the same order anywhere.
  */
-public final class Order {
+public final class MachineOrder {
   /**
    * Where a machine stands in the order.
    *
@@ -29,12 +29,12 @@
       int hallReady,
       List<String> reasons) {}
 
-  private Order() {}
+  private MachineOrder() {}
 
   /** All that wait, the one to go next first; those that may not go now come last. */
-  public static List<Place> of(Ledger l, World w, List<Report> reports) {
+  public static List<Place> of(Ledger l, MachineView w, List<FrontEndReport> reports) {
     Map<String, Integer> ready = w.ready(l);
-    int all = World.sum(ready.values());
+    int all = MachineView.sum(ready.values());
     Map<String, Integer> underWay = new HashMap<>();
     reports.forEach(r -> r.underWay().forEach((name, n) -> underWay.merge(name, n, Integer::sum)));
     Map<String, Set<String>> copies =
@@ -69,7 +69,7 @@
 
   private static Place place(
       Ledger l,
-      World w,
+      MachineView w,
       Plan p,
       Machine m,
       Map<String, Integer> ready,
@@ -77,7 +77,7 @@
       int copies,
       int underWay) {
     List<String> reasons = new ArrayList<>();
-    World.Seen s = w.of(m.name());
+    MachineView.ObservedMachine s = w.of(m.name());
     boolean serves = s != null && s.isReady(); // one that serves nobody costs no capacity
     int inHall = ready.getOrDefault(m.hall(), 0);
     boolean may = true;
@@ -129,12 +129,12 @@
   }
 
   /** Functions in use of which no machine that stays holds a copy but this one, in order. */
-  public static List<String> lastCopies(String machine, Ledger l, World w, List<Report> reports) {
+  public static List<String> lastCopies(String machine, Ledger l, MachineView w, List<FrontEndReport> reports) {
     return lastCopies(machine, l, w, copies(reports));
   }
 
   /** By function in use, the machines that hold it loaded as far as anybody knows. */
-  private static Map<String, Set<String>> copies(List<Report> reports) {
+  private static Map<String, Set<String>> copies(List<FrontEndReport> reports) {
     Map<String, Set<String>> copies = new HashMap<>();
     reports.forEach(
         r ->
@@ -144,7 +144,7 @@
   }
 
   private static List<String> lastCopies(
-      String machine, Ledger l, World w, Map<String, Set<String>> copies) {
+      String machine, Ledger l, MachineView w, Map<String, Set<String>> copies) {
     List<String> last = new ArrayList<>();
     copies.forEach(
         (function, at) -> {
@@ -157,8 +157,8 @@
     return last;
   }
 
-  private static boolean stays(String name, Ledger l, World w) {
-    World.Seen s = w.of(name);
+  private static boolean stays(String name, Ledger l, MachineView w) {
+    MachineView.ObservedMachine s = w.of(name);
     Machine m = l.machine(name);
     return s != null && s.listed() && !s.failing() && (m == null || !m.stage().isMissing());
   }
@@ -167,8 +167,8 @@
    * Where a function's copy is to go: to a ready machine of the same hall with the least under way,
    * else of any.
    */
-  public static String target(String machine, Ledger l, World w, List<Report> reports) {
-    World.Seen from = w.of(machine);
+  public static String target(String machine, Ledger l, MachineView w, List<FrontEndReport> reports) {
+    MachineView.ObservedMachine from = w.of(machine);
     Map<String, Integer> underWay = new HashMap<>();
     reports.forEach(r -> r.underWay().forEach((name, n) -> underWay.merge(name, n, Integer::sum)));
     return w.machines().keySet().stream()
--- a/src/main/java/umberrun/works/World.java
+++ b/src/main/java/umberrun/works/MachineView.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** The machines as the holder sees them, by its list and by what is told of them. */
-public record World(Map<String, Seen> machines) {
+public record MachineView(Map<String, ObservedMachine> machines) {
   /**
    * One machine.
    *
@@ -14,7 +14,7 @@
    * @param since its last start, in milliseconds
    * @param failing whether it is benched or does not answer
    */
-  public record Seen(
+  public record ObservedMachine(
       String hall,
       String kind,
       boolean listed,
@@ -28,7 +28,7 @@
   }
 
   /** One of them, or null. */
-  public Seen of(String name) {
+  public ObservedMachine of(String name) {
     return machines.get(name);
   }
 
--- a/src/main/java/umberrun/works/Driver.java
+++ b/src/main/java/umberrun/works/PlanExecutor.java
@@ -19,7 +19,7 @@
  * as seen to the next step, one at a time. Free of I/O, threads and clocks; times are in
  * microseconds of the own steady clock.
  */
-public class Driver {
+public class PlanExecutor {
   /**
    * Figures of all plans.
    *
@@ -31,10 +31,10 @@
   public record Settings(long quiet, long move, double jump, double refusals) {}
 
   /** A step that is to be made of the register, and what for. */
-  public record Wanted(String what, UnaryOperator<Ledger> step) {}
+  public record PlannedStep(String what, UnaryOperator<Ledger> step) {}
 
   /** A copy to be ordered by a front end at a machine, before the last one goes. */
-  public record Move(String function, String to, String member) {}
+  public record CopyMove(String function, String to, String member) {}
 
   private static final double LEAST_TRAFFIC = 20;
   private static final double MEAN_SPAN = 60_000_000;
@@ -52,13 +52,13 @@
   private long trafficAt;
   private double trafficSpan;
 
-  public Driver(Settings settings, long fence) {
+  public PlanExecutor(Settings settings, long fence) {
     this.settings = settings;
     this.fence = fence;
   }
 
   /** The next step, or null where there is nothing to do but wait. */
-  public Wanted next(long now, Ledger l, World w, List<Report> reports) {
+  public PlannedStep next(long now, Ledger l, MachineView w, List<FrontEndReport> reports) {
     if (!tookOver && l.fence() < fence) {
       // So that a holder before this one, whose machines were other ones, is refused from now on.
       return wanted("takes over", l, x -> x.takeOver(under(x)));
@@ -70,7 +70,7 @@
       if (!m.stage().isOver()) {
         String key = m.name() + m.stage() + m.plan();
         keys.add(key);
-        Wanted step = step(now - since.computeIfAbsent(key, k -> now), l, w, reports, m);
+        PlannedStep step = step(now - since.computeIfAbsent(key, k -> now), l, w, reports, m);
         if (step != null) {
           return step;
         }
@@ -78,7 +78,7 @@
     }
     since.keySet().retainAll(keys);
     for (Plan p : l.plans()) {
-      Wanted step = step(now, l, p, trouble);
+      PlannedStep step = step(now, l, p, trouble);
       if (step != null) {
         return step;
       }
@@ -87,8 +87,8 @@
   }
 
   /** A step made of just the ledger that it was decided on. */
-  private Wanted wanted(String what, Ledger seen, UnaryOperator<Ledger> step) {
-    return new Wanted(
+  private PlannedStep wanted(String what, Ledger seen, UnaryOperator<Ledger> step) {
+    return new PlannedStep(
         what,
         l -> {
           if (isOvertaken(seen, l)) {
@@ -110,9 +110,9 @@
 
   // ---------------------------------------------------------------- machines
 
-  private Wanted step(long inStage, Ledger l, World w, List<Report> reports, Machine m) {
+  private PlannedStep step(long inStage, Ledger l, MachineView w, List<FrontEndReport> reports, Machine m) {
     Plan p = l.plan(m.plan()).orElseThrow();
-    World.Seen s = w.of(m.name());
+    MachineView.ObservedMachine s = w.of(m.name());
     String by =
         reports.stream()
             .filter(r -> r.resumed().contains(m.name()))
@@ -135,7 +135,7 @@
     }
     return switch (m.stage()) {
       case MOVING -> {
-        List<String> last = Order.lastCopies(m.name(), l, w, reports);
+        List<String> last = MachineOrder.lastCopies(m.name(), l, w, reports);
         yield last.isEmpty() || inStage >= settings.move || s == null
             ? to(
                 l,
@@ -158,12 +158,12 @@
     };
   }
 
-  private Wanted to(Ledger l, Machine m, Stage to, long since, String note) {
+  private PlannedStep to(Ledger l, Machine m, Stage to, long since, String note) {
     return wanted(m.name() + " " + to, l, x -> x.stage(under(x), m.name(), to, since, note));
   }
 
   /** What broke a machine's order stops its plan as well. */
-  private Wanted failed(Ledger l, Machine m, String why) {
+  private PlannedStep failed(Ledger l, Machine m, String why) {
     return wanted(
         m.name() + " failed",
         l,
@@ -175,7 +175,7 @@
         });
   }
 
-  private Wanted overdue(Ledger l, Plan p, Machine m) {
+  private PlannedStep overdue(Ledger l, Plan p, Machine m) {
     if (p.late() == Late.SKIP && m.stage().leadsTo(Stage.SKIPPED)) {
       return to(l, m, Stage.SKIPPED, m.since(), "overdue");
     }
@@ -194,7 +194,7 @@
    * For whom a machine waits: those on the roll that have not banned it, or have something out
    * there; nobody's silence is a yes.
    */
-  public List<String> missing(Ledger l, Machine m, List<Report> reports, boolean quiet) {
+  public List<String> missing(Ledger l, Machine m, List<FrontEndReport> reports, boolean quiet) {
     List<String> waits = new ArrayList<>();
     for (Ledger.Member member : l.roll()) {
       if (!m.forced().contains(member.name()) && !hasAnswered(member, m, reports, quiet)) {
@@ -206,18 +206,18 @@
 
   /** Whether a member has said yes; tests put in one for whom silence is one. */
   protected boolean hasAnswered(
-      Ledger.Member member, Machine m, List<Report> reports, boolean quiet) {
+      Ledger.Member member, Machine m, List<FrontEndReport> reports, boolean quiet) {
     return reports.stream()
         .anyMatch(
             r -> {
-              Report.Quiet q = r.member().equals(member) ? r.out().get(m.name()) : null;
+              FrontEndReport.BanProgress q = r.member().equals(member) ? r.out().get(m.name()) : null;
               return q != null && q.ban() == m.ban() && (!quiet || q.out() == 0);
             });
   }
 
   // ---------------------------------------------------------------- plans
 
-  private Wanted step(long now, Ledger l, Plan p, String trouble) {
+  private PlannedStep step(long now, Ledger l, Plan p, String trouble) {
     if (trouble != null) {
       troubledAt.put(p.id(), now);
     }
@@ -235,14 +235,14 @@
         : null;
   }
 
-  private Wanted begin(Ledger l, World w, List<Report> reports) {
-    List<Order.Place> places = order(l, w, reports);
+  private PlannedStep begin(Ledger l, MachineView w, List<FrontEndReport> reports) {
+    List<MachineOrder.Place> places = order(l, w, reports);
     if (places.isEmpty() || !places.get(0).may()) {
       return null;
     }
-    Order.Place first = places.get(0);
+    MachineOrder.Place first = places.get(0);
     Machine m = l.machine(first.machine());
-    World.Seen s = w.of(m.name());
+    MachineView.ObservedMachine s = w.of(m.name());
     if (s == null) {
       return failed(l, m, "not on the list");
     }
@@ -255,14 +255,14 @@
   }
 
   /** Who goes next: trials compare it with plainer orders. */
-  protected List<Order.Place> order(Ledger l, World w, List<Report> reports) {
-    return Order.of(l, w, reports);
+  protected List<MachineOrder.Place> order(Ledger l, MachineView w, List<FrontEndReport> reports) {
+    return MachineOrder.of(l, w, reports);
   }
 
   /** What stops plans now, or null. */
-  private String trouble(long now, Ledger l, World w, List<Report> reports) {
-    double taken = reports.stream().mapToDouble(Report::taken).sum();
-    double refused = reports.stream().mapToDouble(Report::refused).sum();
+  private String trouble(long now, Ledger l, MachineView w, List<FrontEndReport> reports) {
+    double taken = reports.stream().mapToDouble(FrontEndReport::taken).sum();
+    double refused = reports.stream().mapToDouble(FrontEndReport::refused).sum();
     double mean = meanTraffic;
     if (meanTraffic < 0) {
       meanTraffic = taken;
@@ -298,19 +298,19 @@
   }
 
   /** Copies to be ordered now, for machines that are about to go. */
-  public List<Move> moves(Ledger l, World w, List<Report> reports) {
-    List<Move> moves = new ArrayList<>();
+  public List<CopyMove> moves(Ledger l, MachineView w, List<FrontEndReport> reports) {
+    List<CopyMove> moves = new ArrayList<>();
     for (Machine m : l.machines()) {
       if (m.stage() == Stage.MOVING) {
-        for (String function : Order.lastCopies(m.name(), l, w, reports)) {
-          String target = Order.target(m.name(), l, w, reports);
+        for (String function : MachineOrder.lastCopies(m.name(), l, w, reports)) {
+          String target = MachineOrder.target(m.name(), l, w, reports);
           reports.stream()
               .filter(r -> r.copies().containsKey(function))
-              .max(Comparator.comparingDouble(Report::taken).thenComparing(r -> r.member().name()))
+              .max(Comparator.comparingDouble(FrontEndReport::taken).thenComparing(r -> r.member().name()))
               .ifPresent(
                   r -> {
                     if (target != null) {
-                      moves.add(new Move(function, target, r.member().name()));
+                      moves.add(new CopyMove(function, target, r.member().name()));
                     }
                   });
         }
--- a/src/main/java/umberrun/works/Crew.java
+++ b/src/main/java/umberrun/works/PlanParticipant.java
@@ -10,7 +10,7 @@
  * A front end's part in works: bans what the newest ledger that it knows has out, and says what it
  * still has out there. Free of I/O, threads and clocks.
  */
-public class Crew {
+public class PlanParticipant {
   private final Ledger.Member self;
   private long version = -1;
   private Ledger ledger = Ledger.EMPTY;
@@ -23,7 +23,7 @@
 
   private boolean accompanied;
 
-  public Crew(Ledger.Member self) {
+  public PlanParticipant(Ledger.Member self) {
     this.self = self;
   }
 
@@ -91,19 +91,19 @@
    * @param applied bans that hold here by now
    * @param out how much is out at a machine
    */
-  public Report report(
+  public FrontEndReport report(
       Map<String, Long> applied,
       ToIntFunction<String> out,
       Map<String, Integer> underWay,
       Map<String, Set<String>> copies,
       double taken,
       double refused) {
-    Map<String, Report.Quiet> quiet = new LinkedHashMap<>();
+    Map<String, FrontEndReport.BanProgress> quiet = new LinkedHashMap<>();
     if (!accompanied && ledger.isOnRoll(self)) {
       applied.forEach(
-          (machine, ban) -> quiet.put(machine, new Report.Quiet(ban, out.applyAsInt(machine))));
+          (machine, ban) -> quiet.put(machine, new FrontEndReport.BanProgress(ban, out.applyAsInt(machine))));
     }
-    return new Report(
+    return new FrontEndReport(
         self, quiet, new HashSet<>(resumed.keySet()), underWay, copies, taken, refused);
   }
 }
--- a/src/main/java/umberrun/works/net/Parcels.java
+++ b/src/main/java/umberrun/works/net/WorksCodec.java
@@ -8,16 +8,16 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
-import umberrun.works.Report;
+import umberrun.works.FrontEndReport;
 
 /**
  * What front ends tell each other of works: compressed JSON, as ledgers and reports repeat the same
  * names.
  */
-final class Parcels {
+final class WorksCodec {
   /** One message; what it has no use for is absent. */
-  record Word(
-      Kind kind, long version, String ledger, Report report, String function, String machine) {
+  record WorksMessage(
+      Kind kind, long version, String ledger, FrontEndReport report, String function, String machine) {
     /** ASK wants the ledger that the other knows. */
     enum Kind {
       LEDGER,
@@ -30,9 +30,9 @@
   private static final int MOST_TEXT = 256 << 10;
   private static final Gson GSON = new Gson();
 
-  private Parcels() {}
+  private WorksCodec() {}
 
-  static byte[] write(Word w) {
+  static byte[] write(WorksMessage w) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try (DeflaterOutputStream z = new DeflaterOutputStream(out)) {
       z.write(GSON.toJson(w).getBytes(StandardCharsets.UTF_8));
@@ -43,14 +43,14 @@
   }
 
   /** Reads a message; fails with {@link IllegalArgumentException} where it can't be one. */
-  static Word read(byte[] bytes) {
+  static WorksMessage read(byte[] bytes) {
     try (InflaterInputStream z = new InflaterInputStream(new ByteArrayInputStream(bytes))) {
       byte[] text =
           z.readNBytes(MOST_TEXT + 1); // guards the memory against a little that says much
-      Word w =
+      WorksMessage w =
           text.length > MOST_TEXT
               ? null
-              : GSON.fromJson(new String(text, StandardCharsets.UTF_8), Word.class);
+              : GSON.fromJson(new String(text, StandardCharsets.UTF_8), WorksMessage.class);
       if (w == null || w.kind == null) {
         throw new IllegalArgumentException("no word of works");
       }
--- a/src/main/java/umberrun/works/net/WorksPart.java
+++ b/src/main/java/umberrun/works/net/WorksManager.java
@@ -25,35 +25,35 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.UnaryOperator;
-import umberrun.agreement.Value;
-import umberrun.agreement.net.Registers;
+import umberrun.consensus.RegisterValue;
+import umberrun.consensus.net.RegisterManager;
 import umberrun.config.WorksOptions;
 import umberrun.core.Clock;
-import umberrun.core.Owner;
+import umberrun.core.DispatchLoop;
 import umberrun.fleet.Peer;
-import umberrun.fleet.net.FleetPart;
-import umberrun.lease.net.HeldDuty;
+import umberrun.fleet.net.FleetManager;
+import umberrun.lease.net.DutyRunner;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
-import umberrun.stats.Journal;
-import umberrun.works.Crew;
-import umberrun.works.Driver;
+import umberrun.stats.EventLog;
+import umberrun.works.PlanParticipant;
+import umberrun.works.PlanExecutor;
 import umberrun.works.Ledger;
 import umberrun.works.Ledger.Machine;
 import umberrun.works.Ledger.Member;
 import umberrun.works.Ledger.Plan;
 import umberrun.works.Ledger.Refused;
-import umberrun.works.Order;
-import umberrun.works.Report;
+import umberrun.works.MachineOrder;
+import umberrun.works.FrontEndReport;
 import umberrun.works.Stage;
-import umberrun.works.World;
-import umberrun.works.net.Parcels.Word;
+import umberrun.works.MachineView;
+import umberrun.works.net.WorksCodec.WorksMessage;
 
 /**
  * Works in a front end: the crew that bans and reports, the driver while the duty is held, and
  * operators' orders, on the one loop.
  */
-public final class WorksPart implements FleetPart.Guest, HeldDuty.Work {
+public final class WorksManager implements FleetManager.TopicHandler, DutyRunner.DutyTask {
   private static final String TOPIC = "works";
   private static final String REGISTER = "works";
   private static final String DUTY = "works";
@@ -75,13 +75,13 @@
 
   private final Vertx vertx;
   private final Clock clock;
-  private final Owner owner;
+  private final DispatchLoop owner;
   private final Counters counters;
   private final WorksOptions options;
-  private final FleetPart fleet;
-  private final Registers registers;
-  private final Registers.Way way;
-  private final Registers.Way reader;
+  private final FleetManager fleet;
+  private final RegisterManager registers;
+  private final RegisterManager.RegisterClient way;
+  private final RegisterManager.RegisterClient reader;
   private final List<String> halls;
   private final List<String> kinds;
 
@@ -89,10 +89,10 @@
   private final Path folder;
 
   private final Consumer<String> log;
-  private final Journal journal = new Journal("works");
+  private final EventLog journal = new EventLog("works");
   private final Member self;
-  private final Crew crew;
-  private final Map<String, Report> reports = new TreeMap<>();
+  private final PlanParticipant crew;
+  private final Map<String, FrontEndReport> reports = new TreeMap<>();
 
   /** Bans that hold here by now. */
   private Map<String, Long> applied = Map.of();
@@ -115,7 +115,7 @@
   private long refusedBefore;
   private double taken;
   private double refused;
-  private Driver driver;
+  private PlanExecutor driver;
   private LongSupplier mayAct;
 
   /**
@@ -123,14 +123,14 @@
    * @param kinds by number
    * @param folder that processes of this front end share, or null
    */
-  public WorksPart(
+  public WorksManager(
       Vertx vertx,
       Clock clock,
-      Owner owner,
+      DispatchLoop owner,
       Counters counters,
       WorksOptions options,
-      FleetPart fleet,
-      Registers registers,
+      FleetManager fleet,
+      RegisterManager registers,
       List<String> halls,
       List<String> kinds,
       Path folder,
@@ -150,7 +150,7 @@
     this.log = log;
     this.self =
         new Member(fleet.name(), Long.toHexString(new java.security.SecureRandom().nextLong()));
-    this.crew = new Crew(self);
+    this.crew = new PlanParticipant(self);
     this.rateAt = clock.now();
     fleet.host(TOPIC, this);
   }
@@ -223,7 +223,7 @@
   private void ask() {
     for (Peer p : fleet.peers()) {
       if (p.claim().isLiving() && asked.add(p.claim().name())) {
-        send(p.claim().name(), new Word(Word.Kind.ASK, crew.version(), null, null, null, null));
+        send(p.claim().name(), new WorksMessage(WorksMessage.Kind.ASK, crew.version(), null, null, null, null));
       }
     }
   }
@@ -310,7 +310,7 @@
     vertx.setTimer(BEAT_MILLIS, t -> beat());
   }
 
-  private void learn(Value v) {
+  private void learn(RegisterValue v) {
     if (v != null) {
       try {
         learn(v.version(), Ledger.read(v.text()));
@@ -384,7 +384,7 @@
         .keySet()
         .forEach(
             n -> {
-              if (Crew.isCold(l, n)) {
+              if (PlanParticipant.isCold(l, n)) {
                 cold.add(n);
               }
             });
@@ -437,7 +437,7 @@
     boolean moves =
         crew.ledger().machines().stream()
             .anyMatch(m -> m.stage() == Stage.WAITING || m.stage() == Stage.MOVING);
-    Report r =
+    FrontEndReport r =
         crew.report(
             applied,
             name -> underWay.getOrDefault(name, 0),
@@ -449,7 +449,7 @@
     if (driver != null) {
       reports.put(self.name(), r);
     }
-    toAll(new Word(Word.Kind.REPORT, crew.version(), null, r, null, null));
+    toAll(new WorksMessage(WorksMessage.Kind.REPORT, crew.version(), null, r, null, null));
   }
 
   /** Resumed by hand at this front end's door: that wins here, and the plan takes note. */
@@ -467,8 +467,8 @@
     reports.clear();
     mayAct = may;
     driver =
-        new Driver(
-            new Driver.Settings(
+        new PlanExecutor(
+            new PlanExecutor.Settings(
                 options.quietMillis() * MS,
                 options.moveMillis() * MS,
                 options.jump(),
@@ -491,19 +491,19 @@
         || owner.machines().isEmpty()) { // without a list all would be gone
       return;
     }
-    Driver mine = driver;
-    List<Report> told = List.copyOf(reports.values());
-    World w = world();
+    PlanExecutor mine = driver;
+    List<FrontEndReport> told = List.copyOf(reports.values());
+    MachineView w = world();
     Ledger l = crew.ledger();
-    for (Driver.Move m : mine.moves(l, w, told)) {
+    for (PlanExecutor.CopyMove m : mine.moves(l, w, told)) {
       counters.add(Count.WORKS_MOVES);
       if (m.member().equals(self.name())) {
         move(m.function(), m.to());
       } else {
-        send(m.member(), new Word(Word.Kind.MOVE, 0, null, null, m.function(), m.to()));
+        send(m.member(), new WorksMessage(WorksMessage.Kind.MOVE, 0, null, null, m.function(), m.to()));
       }
     }
-    Driver.Wanted wanted = l.isActive() ? mine.next(clock.now(), l, w, told) : null;
+    PlanExecutor.PlannedStep wanted = l.isActive() ? mine.next(clock.now(), l, w, told) : null;
     if (wanted != null && mayAct.getAsLong() >= 0) {
       steps = true;
       counters.add(Count.LEASE_ACTS);
@@ -524,12 +524,12 @@
     }
   }
 
-  private World world() {
-    Map<String, World.Seen> seen = new TreeMap<>();
-    for (Owner.Machine m : owner.machines()) {
+  private MachineView world() {
+    Map<String, MachineView.ObservedMachine> seen = new TreeMap<>();
+    for (DispatchLoop.WorkerView m : owner.machines()) {
       seen.put(
           m.name(),
-          new World.Seen(
+          new MachineView.ObservedMachine(
               named(halls, m.zone()),
               named(kinds, m.kind()),
               m.ready(),
@@ -540,9 +540,9 @@
     }
     for (Machine m : crew.ledger().machines()) {
       seen.computeIfAbsent(
-          m.name(), n -> new World.Seen(m.hall(), "", false, true, 0, false, false));
+          m.name(), n -> new MachineView.ObservedMachine(m.hall(), "", false, true, 0, false, false));
     }
-    return new World(seen);
+    return new MachineView(seen);
   }
 
   private static String named(List<String> names, int i) {
@@ -562,7 +562,7 @@
           try {
             Ledger before = Ledger.read(v.text());
             Ledger after = step.apply(before);
-            Value next = v.next(after.text());
+            RegisterValue next = v.next(after.text());
             if (!next.isShort()) {
               throw new Refused("the register is full");
             }
@@ -578,7 +578,7 @@
           learn(v);
           counters.add(why[0] == null ? Count.WORKS_STEPS : Count.WORKS_REFUSED);
           if (v != null && v.version() > known) {
-            toAll(new Word(Word.Kind.LEDGER, v.version(), v.text(), null, null, null));
+            toAll(new WorksMessage(WorksMessage.Kind.LEDGER, v.version(), v.text(), null, null, null));
           }
           then.over(
               v == null
@@ -596,8 +596,8 @@
 
   // ---------------------------------------------------------------- what others tell
 
-  private void toAll(Word w) {
-    byte[] bytes = Parcels.write(w);
+  private void toAll(WorksMessage w) {
+    byte[] bytes = WorksCodec.write(w);
     for (Peer p : fleet.peers()) {
       if (p.claim().isLiving()) {
         fleet.post(TOPIC, p.claim().name(), bytes);
@@ -605,14 +605,14 @@
     }
   }
 
-  private void send(String to, Word w) {
-    fleet.post(TOPIC, to, Parcels.write(w));
+  private void send(String to, WorksMessage w) {
+    fleet.post(TOPIC, to, WorksCodec.write(w));
   }
 
   @Override
   public void parcel(String from, byte[] body) {
     try {
-      Word w = Parcels.read(body);
+      WorksMessage w = WorksCodec.read(body);
       if (over) {
         return;
       }
@@ -624,8 +624,8 @@
             if (w.version() < crew.version()) { // a word was lost on the way
               send(
                   from,
-                  new Word(
-                      Word.Kind.LEDGER, crew.version(), crew.ledger().text(), null, null, null));
+                  new WorksMessage(
+                      WorksMessage.Kind.LEDGER, crew.version(), crew.ledger().text(), null, null, null));
             }
             drive();
           }
@@ -635,7 +635,7 @@
           if (crew.version() > w.version()) {
             send(
                 from,
-                new Word(Word.Kind.LEDGER, crew.version(), crew.ledger().text(), null, null, null));
+                new WorksMessage(WorksMessage.Kind.LEDGER, crew.version(), crew.ledger().text(), null, null, null));
           }
         }
       }
@@ -725,7 +725,7 @@
             o.has("urgent") && o.get("urgent").getAsBoolean(),
             Ledger.State.RUNNING,
             "");
-    World w = world();
+    MachineView w = world();
     List<Machine> wanted = wanted(o, p.id(), w);
     Ledger seen = crew.ledger().add(p, wanted);
     floors(p, w, seen, wanted);
@@ -735,7 +735,7 @@
     return ordered(l -> l.add(p, wanted));
   }
 
-  private static void floors(Plan p, World w, Ledger l, List<Machine> wanted) {
+  private static void floors(Plan p, MachineView w, Ledger l, List<Machine> wanted) {
     Map<String, Integer> ready = new TreeMap<>();
     w.machines()
         .forEach(
@@ -767,7 +767,7 @@
   }
 
   /** The machines that a plan names: by id, by hall, by kind, or by when they started. */
-  private static List<Machine> wanted(JsonObject o, String id, World w) {
+  private static List<Machine> wanted(JsonObject o, String id, MachineView w) {
     Set<String> names = new LinkedHashSet<>();
     if (o.has("machines")) {
       for (JsonElement e : o.getAsJsonArray("machines")) {
@@ -797,12 +797,12 @@
   }
 
   /** The order that today's reports would lead to, as if each machine came back at once. */
-  private JsonObject dryRun(Ledger from, World w, Plan p) {
-    List<Report> told = List.copyOf(reports.values());
-    List<Order.Place> order = new ArrayList<>();
+  private JsonObject dryRun(Ledger from, MachineView w, Plan p) {
+    List<FrontEndReport> told = List.copyOf(reports.values());
+    List<MachineOrder.Place> order = new ArrayList<>();
     Ledger l = from;
     while (true) {
-      List<Order.Place> places = Order.of(l, w, told);
+      List<MachineOrder.Place> places = MachineOrder.of(l, w, told);
       if (places.isEmpty() || !places.get(0).may()) {
         places.forEach(order::add); // what can't go, and why
         break;
@@ -861,7 +861,7 @@
       throw new Refused(machine + " is in no plan");
     }
     o.add("machine", GSON.toJsonTree(m));
-    List<Order.Place> places = Order.of(l, world(), List.copyOf(reports.values()));
+    List<MachineOrder.Place> places = MachineOrder.of(l, world(), List.copyOf(reports.values()));
     for (int i = 0; i < places.size(); i++) {
       if (places.get(i).machine().equals(machine)) {
         o.addProperty("place", i + 1);
--- a/src/main/java/umberrun/works/sim/WorksTrial.java
+++ b/src/main/java/umberrun/works/sim/WorksSimulation.java
@@ -12,17 +12,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.UnaryOperator;
 import umberrun.sim.VirtualNetwork;
-import umberrun.works.Crew;
-import umberrun.works.Driver;
+import umberrun.works.PlanParticipant;
+import umberrun.works.PlanExecutor;
 import umberrun.works.Ledger;
 import umberrun.works.Ledger.Machine;
 import umberrun.works.Ledger.Member;
 import umberrun.works.Ledger.Plan;
 import umberrun.works.Ledger.Refused;
-import umberrun.works.Order;
-import umberrun.works.Report;
+import umberrun.works.MachineOrder;
+import umberrun.works.FrontEndReport;
 import umberrun.works.Stage;
-import umberrun.works.World;
+import umberrun.works.MachineView;
 
 /**
  * Front ends that send calls to machines all the time, and plans that take the machines out, on the
@@ -31,11 +31,11 @@
  * reaches a machine that is free for work, no more are missing than allowed, no floor is broken by
  * a plan's own step.
  */
-public final class WorksTrial {
+public final class WorksSimulation {
   /** Makes the machines; tests put in ones that are broken on purpose. */
-  public interface Maker {
-    default Driver driver(long fence) {
-      return new Driver(SETTINGS, fence);
+  public interface Factory {
+    default PlanExecutor driver(long fence) {
+      return new PlanExecutor(SETTINGS, fence);
     }
 
     default boolean forgetsBans() {
@@ -44,18 +44,18 @@
   }
 
   /** A check that does not hold. */
-  public static final class Broken extends RuntimeException {
+  public static final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Broken(String message) {
+    InvariantViolation(String message) {
       super(message);
     }
   }
 
   private static final long MS = 1_000;
   private static final long SECOND = 1_000_000;
-  public static final Driver.Settings SETTINGS =
-      new Driver.Settings(3 * SECOND, 2 * SECOND, 1.8, 0.3);
+  public static final PlanExecutor.Settings SETTINGS =
+      new PlanExecutor.Settings(3 * SECOND, 2 * SECOND, 1.8, 0.3);
   private static final long BEAT = 200 * MS;
   private static final long REPORT = 300 * MS;
   private static final long COLD = 3 * SECOND;
@@ -84,13 +84,13 @@
   private final class Front {
     final int number;
     Member self;
-    Crew crew;
+    PlanParticipant crew;
     Map<String, Long> applied = new LinkedHashMap<>();
     Map<String, Integer> out = new HashMap<>();
-    final Map<String, Report> reports = new TreeMap<>();
+    final Map<String, FrontEndReport> reports = new TreeMap<>();
     int life;
     boolean serves;
-    Driver driver;
+    PlanExecutor driver;
     long fence = -1;
     boolean steps;
 
@@ -101,7 +101,7 @@
     void start() {
       life++;
       self = new Member("f" + number, Long.toHexString(random.nextInt(1 << 30)));
-      crew = new Crew(self);
+      crew = new PlanParticipant(self);
       applied = new LinkedHashMap<>();
       out = new HashMap<>();
       reports.clear();
@@ -184,7 +184,7 @@
     }
 
     private void report() {
-      Report r = ownReport();
+      FrontEndReport r = ownReport();
       for (Front f : fronts) {
         if (f.fence >= 0 || f == this) {
           net.send(number, f.number, () -> f.reports.put(r.member().name(), r));
@@ -193,7 +193,7 @@
       later(REPORT, this::report);
     }
 
-    private Report ownReport() {
+    private FrontEndReport ownReport() {
       Map<String, Set<String>> copies = new TreeMap<>();
       for (Place p : places) {
         for (String f : p.copies) {
@@ -235,13 +235,13 @@
                 });
           }
         }
-        Driver.Wanted wanted =
+        PlanExecutor.PlannedStep wanted =
             version < 0
                 ? null
                 : driver.next(net.now(), known, world(), List.copyOf(reports.values()));
-        for (Driver.Move m :
+        for (PlanExecutor.CopyMove m :
             version < 0
-                ? List.<Driver.Move>of()
+                ? List.<PlanExecutor.CopyMove>of()
                 : driver.moves(known, world(), List.copyOf(reports.values()))) {
           moved += place(m.to()).copies.add(m.function()) ? 1 : 0;
         }
@@ -277,7 +277,7 @@
 
   private final VirtualNetwork net;
   private final SplittableRandom random;
-  private final Maker maker;
+  private final Factory maker;
   private final List<Front> fronts = new ArrayList<>();
   private final List<Place> places = new ArrayList<>();
   private final int register;
@@ -295,7 +295,7 @@
   private int moved;
   private int cutOff;
 
-  public WorksTrial(int frontCount, int halls, int eachHall, long seed, Maker maker) {
+  public WorksSimulation(int frontCount, int halls, int eachHall, long seed, Factory maker) {
     this.random = new SplittableRandom(seed);
     this.maker = maker;
     this.register = frontCount;
@@ -350,15 +350,15 @@
     return places.stream().filter(p -> p.name.equals(name)).findFirst().orElseThrow();
   }
 
-  private World world() {
-    Map<String, World.Seen> seen = new TreeMap<>();
+  private MachineView world() {
+    Map<String, MachineView.ObservedMachine> seen = new TreeMap<>();
     for (Place p : places) {
       seen.put(
           p.name,
-          new World.Seen(
+          new MachineView.ObservedMachine(
               p.hall, "std", p.listed, p.gone, p.since / MS, net.now() < p.coldUntil, p.failing));
     }
-    return new World(seen);
+    return new MachineView(seen);
   }
 
   // ---------------------------------------------------------------- the register and the lease
@@ -441,7 +441,7 @@
     sends++;
     Machine m = ledger.machine(p.name);
     if (m != null && m.stage() == Stage.FREE && m.forced().isEmpty() && !byHand.contains(p.name)) {
-      throw new Broken(from + " sent to " + p.name + ", which is free for work, at " + net.now());
+      throw new InvariantViolation(from + " sent to " + p.name + ", which is free for work, at " + net.now());
     }
     p.copies.add(function);
     if (p.copies.size() > COPIES_EACH) {
@@ -466,7 +466,7 @@
         continue;
       }
       if (was.stage().isOver() || m.stage().ordinal() < was.stage().ordinal()) {
-        throw new Broken(
+        throw new InvariantViolation(
             m.name() + " went from " + was.stage() + " to " + m.stage() + " at " + net.now());
       }
       if (m.stage() == Stage.MOVING) {
@@ -481,14 +481,14 @@
     long missing = after.machines().stream().filter(o -> o.stage().isMissing()).count();
     Plan p = after.plan(m.plan()).orElseThrow();
     if (missing > p.atOnce()) {
-      throw new Broken(missing + " are missing, " + p.atOnce() + " may be, at " + net.now());
+      throw new InvariantViolation(missing + " are missing, " + p.atOnce() + " may be, at " + net.now());
     }
     if (p.oneHall()
         && after.machines().stream()
             .anyMatch(o -> o.stage().isMissing() && !o.hall().equals(m.hall()))) {
-      throw new Broken("two halls at " + net.now());
+      throw new InvariantViolation("two halls at " + net.now());
     }
-    World w = world();
+    MachineView w = world();
     if (w.of(m.name()).listed()) {
       long ready =
           places.stream()
@@ -500,7 +500,7 @@
                   })
               .count();
       if (ready < p.floor() - slack) {
-        throw new Broken(ready + " are ready, " + p.floor() + " must stay, at " + net.now());
+        throw new InvariantViolation(ready + " are ready, " + p.floor() + " must stay, at " + net.now());
       }
     }
   }
@@ -630,8 +630,8 @@
   }
 
   /** Why each machine that waits does, as anybody with the ledger and the list says it. */
-  public List<Order.Place> why() {
-    return Order.of(ledger, world(), List.of());
+  public List<MachineOrder.Place> why() {
+    return MachineOrder.of(ledger, world(), List.of());
   }
 
   public void run(long span) {
--- a/src/test/java/saddlestall/ChoiceTest.java
+++ b/src/test/java/saddlestall/AdaptiveDispatcherTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.Bench.KEYED;
-import static saddlestall.Bench.MS;
-import static saddlestall.Bench.SAFE;
-import static saddlestall.Bench.SECOND;
-import static saddlestall.Bench.UNSAFE;
+import static saddlestall.DispatcherFixture.KEYED;
+import static saddlestall.DispatcherFixture.MS;
+import static saddlestall.DispatcherFixture.SAFE;
+import static saddlestall.DispatcherFixture.SECOND;
+import static saddlestall.DispatcherFixture.UNSAFE;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -25,9 +25,9 @@
 import saddlestall.Dispatcher.*;
 
 /** Rule by rule, and failure by failure. */
-class ChoiceTest {
-  private static Bench bench() {
-    return new Bench(Bench.settings(false, Group.ALL), 7);
+class AdaptiveDispatcherTest {
+  private static DispatcherFixture bench() {
+    return new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 7);
   }
 
   // ---------------------------------------------------------------- rules 1 and 2
@@ -38,7 +38,7 @@
       names = {"OK", "CANCELLED", "MOOT"},
       mode = EnumSource.Mode.EXCLUDE)
   void unsafeCallsGoOnOnlyWhenNothingRan(Code code) {
-    Bench b = bench().list(4).call(1, UNSAFE, 9);
+    DispatcherFixture b = bench().list(4).call(1, UNSAFE, 9);
     b.at(20).outcome(b.lastSend(), 0, code, 20);
     assertEquals(code.notRun ? 2 : 1, b.sends(1).size());
     assertEquals(!code.notRun, b.failed(1));
@@ -50,7 +50,7 @@
       value = Code.class,
       names = {"ERROR", "FULL", "CONNECT_FAILED", "RESET", "MISS"})
   void safeCallsGoOnElsewhere(Code code) {
-    Bench b = bench().list(4).call(1, SAFE, 9);
+    DispatcherFixture b = bench().list(4).call(1, SAFE, 9);
     Send first = b.lastSend();
     b.at(20).outcome(first, 0, code, 20);
     assertEquals(2, b.sends(1).size());
@@ -60,7 +60,7 @@
   @Test
   void keyedCallsStayInTheirCellAndTime() {
     for (long seed = 0; seed < 20; seed++) {
-      Bench b = new Bench(Bench.settings(false, Group.CELL), seed).list(6).call(1, KEYED, 9);
+      DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.CELL), seed).list(6).call(1, KEYED, 9);
       Send first = b.lastSend();
       b.at(20).outcome(first, 0, Code.ERROR, 20);
       assertEquals(2, b.sends(1).size());
@@ -74,7 +74,7 @@
 
   @Test
   void theDeadlineGetsItsAnswer() {
-    Bench b = bench().list(4).call(1, UNSAFE, 9).call(2, SAFE, 9);
+    DispatcherFixture b = bench().list(4).call(1, UNSAFE, 9).call(2, SAFE, 9);
     b.at(2500).event(new Due(1)).event(new Due(2));
     assertTrue(b.failed(1));
     assertTrue(b.refused(2));
@@ -85,17 +85,17 @@
 
   @Test
   void withNothingPermittedACallIsHeldThenRefused() {
-    Bench b = bench().call(1, UNSAFE, 9);
+    DispatcherFixture b = bench().call(1, UNSAFE, 9);
     assertTrue(b.sends(1).isEmpty());
     b.at(100).list(2);
     assertEquals(1, b.sends(1).size());
-    Bench none = bench().call(1, UNSAFE, 9).pass(2500);
+    DispatcherFixture none = bench().call(1, UNSAFE, 9).pass(2500);
     assertTrue(none.event(new Due(1)).refused(1));
   }
 
   @Test
   void attemptsAreLimited() {
-    Bench b = bench().list(8).call(1, SAFE, 9);
+    DispatcherFixture b = bench().list(8).call(1, SAFE, 9);
     for (int i = 0; i < 4; i++) {
       b.at(5).outcome(b.lastSend(), i, Code.CONNECT_FAILED, 5);
     }
@@ -105,7 +105,7 @@
 
   @Test
   void strayEventsAreIgnored() {
-    Bench b = bench().list(2);
+    DispatcherFixture b = bench().list(2);
     int before = b.actions.size();
     b.event(new Outcome(5, 0, 1, Code.OK, 5, true, Note.NONE, -1, null))
         .event(new Due(77))
@@ -121,12 +121,12 @@
 
   @Test
   void drainingAndGoneWorkersGetNothing() {
-    Bench b = bench().list(3);
-    b.event(new Members(ListKind.DELTA, List.of(Bench.member(1, State.DRAINING, 0))));
+    DispatcherFixture b = bench().list(3);
+    b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(1, State.DRAINING, 0))));
     b.event(
         new Members(
             ListKind.FULL,
-            List.of(Bench.member(1, State.DRAINING, 0), Bench.member(3, State.READY, 0))));
+            List.of(DispatcherFixture.member(1, State.DRAINING, 0), DispatcherFixture.member(3, State.READY, 0))));
     for (int i = 0; i < 50; i++) {
       b.call(i, SAFE, i);
     }
@@ -136,8 +136,8 @@
 
   @Test
   void aColdWorkerGetsItsShareOnly() {
-    Bench b = bench().list(3);
-    b.event(new Members(ListKind.DELTA, List.of(Bench.member(9, State.READY, b.now))));
+    DispatcherFixture b = bench().list(3);
+    b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(9, State.READY, b.now))));
     int id = 0;
     for (int round = 0; round < 40; round++) { // two seconds, forty calls a second
       for (int k = 0; k < 2; k++) {
@@ -155,7 +155,7 @@
 
   @Test
   void ordersToLoadKeepTheirRation() {
-    Bench b = new Bench(Bench.settings(true, Group.ALL), 3).list(12);
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), 3).list(12);
     for (int id = 1; id <= 300; id++) {
       b.at(10)
           .event(new Due(-1))
@@ -173,7 +173,7 @@
 
   @Test
   void aWarmFreeWorkerWinsNearlyEveryDraw() {
-    Bench b = bench().list(6).call(1, SAFE, 9);
+    DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
     int warm = b.lastSend().worker();
     b.at(500).outcome(b.lastSend(), 0, Code.OK, 500);
     int same = 0;
@@ -187,7 +187,7 @@
 
   @Test
   void aWorkerWithManyOwnCallsLosesItsDraws() {
-    Bench b = bench().list(6).call(1, SAFE, 9);
+    DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
     int warm = b.lastSend().worker();
     b.at(500).outcome(b.lastSend(), 0, Code.OK, 500);
     for (int id = 2; id < 14; id++) {
@@ -205,7 +205,7 @@
   void ownCallsWeighAgainstAWarmCopy() {
     int others = 0;
     for (int seed = 1; seed <= 40; seed++) {
-      Bench b = new Bench(Bench.settings(false, Group.ALL), seed).list(6).call(1, SAFE, 9);
+      DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(6).call(1, SAFE, 9);
       int warm = b.lastSend().worker();
       b.at(500).outcome(b.lastSend(), 0, Code.OK, 500);
       for (int id = 2; id < 14; id++) {
@@ -221,7 +221,7 @@
   void thePlanKeepsAFunctionAtItsHome() {
     int most = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      Bench b = oneBusyFunction(2, seed);
+      DispatcherFixture b = oneBusyFunction(2, seed);
       int[] at = new int[7];
       b.all(Send.class).stream()
           .filter(s -> s.call() > 150 && s.call() % 6 == 0)
@@ -248,8 +248,8 @@
   }
 
   /** Fifteen seconds of calls, one in six of them for function 1; copies have so many lanes. */
-  private static Bench oneBusyFunction(int lanes, int seed) {
-    Bench b = new Bench(Bench.settings(true, Group.ALL), seed).list(6);
+  private static DispatcherFixture oneBusyFunction(int lanes, int seed) {
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), seed).list(6);
     for (int id = 1; id <= 300; id++) {
       b.event(
           new Call(
@@ -272,7 +272,7 @@
 
   @Test
   void aLoadThatOutlastsTheCallIsPassedOver() {
-    Bench b =
+    DispatcherFixture b =
         bench()
             .list(4)
             .event(new Call(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
@@ -285,14 +285,14 @@
   void frontEndsAgreeOnHomesUnasked() {
     for (long function = 1; function < 30; function++) {
       int first =
-          new Bench(Bench.settings(false, Group.ALL), 1)
+          new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 1)
               .list(8)
               .call(1, SAFE, function)
               .lastSend()
               .worker();
       int votes = 0;
       for (long seed = 2; seed < 12; seed++) {
-        Bench b = new Bench(Bench.settings(false, Group.ALL), seed).list(8).call(1, SAFE, function);
+        DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(8).call(1, SAFE, function);
         votes += b.lastSend().worker() == first ? 1 : 0;
       }
       assertTrue(votes >= 5, "function " + function + ": " + votes);
@@ -307,15 +307,15 @@
    */
   @Test
   void weightsFollowAConstructedPayoff() {
-    Bench paid = learn(true);
-    Bench unpaid = learn(false);
+    DispatcherFixture paid = learn(true);
+    DispatcherFixture unpaid = learn(false);
     double gain =
         paid.choice.weights[7] - unpaid.choice.weights[7]; // the own hall, paid in one of the two
     assertTrue(gain > 0, "gain " + gain);
   }
 
-  private static Bench learn(boolean homeHallPays) {
-    Bench b = bench().list(9);
+  private static DispatcherFixture learn(boolean homeHallPays) {
+    DispatcherFixture b = bench().list(9);
     for (int id = 1; id < 1500; id++) {
       b.at(30).call(id, SAFE, id % 40);
       boolean own = b.lastSend().worker() % 3 == 0;
@@ -326,7 +326,7 @@
 
   @Test
   void weightsStayBoundedUnderNoise() {
-    Bench b = bench().list(9);
+    DispatcherFixture b = bench().list(9);
     java.util.Random noise = new java.util.Random(1);
     for (int id = 1; id < 6000; id++) {
       b.at(20).call(id, SAFE, id); // a scan: no function comes twice
@@ -336,7 +336,7 @@
       }
       b.actions.clear();
     }
-    double[] start = new Bench(Bench.settings(false, Group.ALL), 1).choice.weights;
+    double[] start = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 1).choice.weights;
     for (int k = 0; k < start.length; k++) {
       double most = 0.5 * Math.abs(start[k]) + 0.5;
       assertTrue(Math.abs(b.choice.weights[k] - start[k]) <= most + 1e-9, "weight " + k);
@@ -348,7 +348,7 @@
   /** Incident ib7a926: a full worker answers at once and so drew ever more calls. */
   @Test
   void aFullWorkerIsPassedOverForAWhile() {
-    Bench b = bench().list(2).call(1, SAFE, 9);
+    DispatcherFixture b = bench().list(2).call(1, SAFE, 9);
     int full = b.lastSend().worker();
     b.outcome(b.lastSend(), 0, Code.FULL, 1);
     for (int id = 2; id < 12; id++) {
@@ -360,9 +360,9 @@
   /** Throttled tenants: what is turned away for one tenant says nothing of another. */
   @Test
   void aTurnAwayCountsForItsTenantAndClassAlone() {
-    Settings s = Bench.settings(false, Group.ALL);
-    Bench b =
-        new Bench(
+    Settings s = DispatcherFixture.settings(false, Group.ALL);
+    DispatcherFixture b =
+        new DispatcherFixture(
             new Settings(
                 0,
                 1,
@@ -398,7 +398,7 @@
    */
   @Test
   void aFrontEndThatHasJustStartedRefusesNothing() {
-    Bench b = bench().list(20);
+    DispatcherFixture b = bench().list(20);
     for (int id = 1; id <= 5; id++) {
       b.call(id, SAFE, id % 3).pass(150).outcome(b.lastSend(), 0, Code.OK, 150).pass(150);
     }
@@ -411,7 +411,7 @@
    */
   @Test
   void aThinStreamShedsWhenAnswersAreLate() {
-    Bench b = bench().list(6);
+    DispatcherFixture b = bench().list(6);
     int id = 0;
     for (; id < 60; id++) {
       b.call(id, SAFE, id % 5).pass(350);
@@ -434,7 +434,7 @@
   /** Incident if4a944: every front end began loads until the store stopped. */
   @Test
   void failedLoadsShrinkTheNumberOfOwnLoads() {
-    Bench b = bench().list(8);
+    DispatcherFixture b = bench().list(8);
     for (int id = 1; id <= 30; id++) {
       b.call(id, UNSAFE, id);
     }
@@ -462,7 +462,7 @@
    */
   @Test
   void silenceBenchesAWorkerAndOneLongCallDoesNot() {
-    Bench b = bench().list(3);
+    DispatcherFixture b = bench().list(3);
     for (int id = 1; id <= 90; id++) { // all three are heard
       b.at(60).call(id, SAFE, id % 3).at(60).outcome(b.lastSend(), 0, Code.OK, 60);
     }
@@ -483,7 +483,7 @@
 
   @Test
   void aCommonCauseDoesNotEmptyThePool() {
-    Bench b = bench().list(4);
+    DispatcherFixture b = bench().list(4);
     for (int id = 1; id < 80; id++) {
       b.at(50).call(id, UNSAFE, id % 4);
       if (!b.sends(id).isEmpty()) {
@@ -502,14 +502,14 @@
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Bench(Bench.settings(List.of(), false), 1))
+                () -> new DispatcherFixture(DispatcherFixture.settings(List.of(), false), 1))
             .getMessage()
             .contains("classes"));
     CallClass none = new CallClass(1, 0, 0, Effect.SAFE, Group.ALL, 0, 1, 0, false);
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
-                () -> new Bench(Bench.settings(List.of(none), false), 1))
+                () -> new DispatcherFixture(DispatcherFixture.settings(List.of(none), false), 1))
             .getMessage()
             .contains("classes.giveUp"));
   }
@@ -521,10 +521,10 @@
   @ParameterizedTest
   @ValueSource(
       strings = {
-        "saddlestall/Choice",
-        "saddlestall/Memory",
+        "saddlestall/AdaptiveDispatcher",
+        "saddlestall/DispatcherState",
         "saddlestall/Maths",
-        "umberrun/discovery/Contact",
+        "umberrun/discovery/DiscoveryContact",
         "umberrun/discovery/WorkerLeases"
       })
   void theModulesThatDecideAreFreeOfIo(String module) throws IOException {
@@ -532,7 +532,7 @@
     String foreign =
         "import (?!static saddlestall|saddlestall|java\\.util\\.(?!concurrent|Timer|logging)).*|.*(System\\.(?!arraycopy)|Thread|Instant\\.now).*";
     assertEquals(List.of(), lines.stream().filter(l -> l.matches(foreign)).toList());
-    int most = module.endsWith("Choice") ? 110 : 140;
+    int most = module.endsWith("AdaptiveDispatcher") ? 110 : 140;
     assertEquals(List.of(), lines.stream().filter(l -> l.length() > most).toList());
   }
 
@@ -545,9 +545,9 @@
     int there = 0;
     int without = 0;
     for (int seed = 1; seed <= 200; seed++) {
-      Bench b = new Bench(Bench.settings(false, Group.ALL), seed).list(6).call(1, SAFE, 7);
+      DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(6).call(1, SAFE, 7);
       without += b.sends(1).get(0).worker() == 4 ? 1 : 0;
-      b = new Bench(Bench.settings(false, Group.ALL), seed).list(6);
+      b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(6);
       b.event(new KnownCopy(4, 7, 1_000 * MS, 0.9)).call(1, SAFE, 7);
       there += b.sends(1).get(0).worker() == 4 ? 1 : 0;
       List<Known> own = new ArrayList<>();
@@ -564,7 +564,7 @@
   /** Rules 3 and 4: no word of others makes a worker one that drains, or that started since. */
   @Test
   void hearsayRevivesNoWorker() {
-    Bench b = bench().list(3);
+    DispatcherFixture b = bench().list(3);
     b.event(new Members(ListKind.DELTA, List.of(new Member(2, 0, 0, 0, State.DRAINING, 1, 0))));
     b.event(new KnownCopy(2, 7, 0, 1))
         .event(new KnownWorker(2, 1, 0, 0, 1))
@@ -579,7 +579,7 @@
   /** Waits for loads are no overload: the calls that come meanwhile are not refused. */
   @Test
   void loadsUnderWayDoNotLeadToRefusals() {
-    Bench b = new Bench(Bench.settings(false, Group.ALL), 5).list(6);
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 5).list(6);
     for (int id = 1; id <= 5; id++) {
       b.call(id, SAFE, id); // each begins a load that lasts longer than the aim
     }
@@ -606,7 +606,7 @@
    */
   @Test
   void callsInFlightAloneDoNotLeadToRefusals() {
-    Bench b = bench().list(6);
+    DispatcherFixture b = bench().list(6);
     for (int id = 1; id <= 60; id++) {
       b.call(id, SAFE, id % 3).pass(50);
       if (id % 2 == 0) {
@@ -624,7 +624,7 @@
   void anIdleFrontEndWithAShortAimRefusesNothing() {
     CallClass quick =
         new CallClass(300 * MS, 0, 2500 * MS, Effect.SAFE, Group.ALL, 0, 1, 0.2, false);
-    Bench b = new Bench(Bench.settings(List.of(quick), false), 3).list(6).pass(3_000);
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(List.of(quick), false), 3).list(6).pass(3_000);
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, 1);
     }
@@ -638,7 +638,7 @@
   @ParameterizedTest
   @EnumSource(Effect.class)
   void aLateCallGetsASecondCopy(Effect effect) {
-    Bench b = new Bench(Bench.settings(false, Group.ZONE), 7).list(6);
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ZONE), 7).list(6);
     for (int id = 1; id <= 30; id++) {
       b.call(id, SAFE, 9); // many at once, so that copies come to stand at all workers
     }
@@ -669,7 +669,7 @@
    */
   @Test
   void aLostConnectionCountsOnce() {
-    Bench b = bench().list(1);
+    DispatcherFixture b = bench().list(1);
     for (int id = 1; id <= 10; id++) {
       b.call(id, UNSAFE, 9);
     }
@@ -681,7 +681,7 @@
   /** Bad clients: errors for functions that no worker knows are no sign of a worker's health. */
   @Test
   void nonsenseBenchesNoWorker() {
-    Bench b = bench().list(4);
+    DispatcherFixture b = bench().list(4);
     for (int id = 1; id <= 40; id++) {
       b.call(id, UNSAFE, 1_000 + id).at(5);
       b.sends(id).forEach(s -> b.outcome(s, 0, Code.ERROR, 5));
@@ -692,7 +692,7 @@
   /** A call that nothing can serve is refused while that costs little, not when its time is up. */
   @Test
   void aHeldCallIsRefusedBeforeHalfItsTimeHasPassed() {
-    Bench b = bench().call(1, SAFE, 9).pass(1_000);
+    DispatcherFixture b = bench().call(1, SAFE, 9).pass(1_000);
     assertFalse(b.refused(1));
     assertTrue(b.pass(200).refused(1));
   }
@@ -703,7 +703,7 @@
    */
   @Test
   void aLoadThatOutlastsItsCallsIsOrdered() {
-    Bench b = new Bench(Bench.settings(true, Group.ALL), 7).list(4);
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), 7).list(4);
     b.event(new Call(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
     assertTrue(b.sends(1).isEmpty());
     assertTrue(b.all(Hold.class).isEmpty()); // one call alone is not worth the memory
@@ -720,7 +720,7 @@
   /** Bad clients: a function that nobody ever served is not tried at every worker there is. */
   @Test
   void nonsenseIsTriedTwice() {
-    Bench b = bench().list(6);
+    DispatcherFixture b = bench().list(6);
     for (int id = 1; id <= 40; id++) {
       b.call(id, SAFE, 9);
       b.outcome(b.lastSend(), 0, Code.OK, 20);
@@ -739,7 +739,7 @@
    */
   @Test
   void aHallWhoseWorkersFailOneAfterTheOtherIsPassedOverWhole() {
-    Bench b = bench().list(45);
+    DispatcherFixture b = bench().list(45);
     int lost = 0;
     for (int id = 1; id <= 90; id++) {
       b.call(id, SAFE, id);
@@ -770,10 +770,10 @@
   @Test
   void anAbsentCountIsNoneOnlyWhereCountsAreTold() {
     for (boolean told : new boolean[] {true, false}) {
-      Settings s = Bench.settings(true, Group.ALL);
+      Settings s = DispatcherFixture.settings(true, Group.ALL);
       Loads l = s.loads();
-      Bench b =
-          new Bench(
+      DispatcherFixture b =
+          new DispatcherFixture(
               new Settings(
                   0,
                   2,
@@ -807,7 +807,7 @@
         IntStream.rangeClosed(1, 12)
             .mapToObj(id -> new Member(id, 0, 0, 0, State.READY, 1, 0))
             .toList();
-    Bench b = bench().event(new Members(ListKind.FULL, members));
+    DispatcherFixture b = bench().event(new Members(ListKind.FULL, members));
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, id);
       for (int i = 0; i < b.sends(id).size(); i++) {
@@ -825,7 +825,7 @@
   /** One bad worker in a hall says nothing of the others there. */
   @Test
   void aHallWithOneFailingWorkerIsUsed() {
-    Bench b = bench().list(30);
+    DispatcherFixture b = bench().list(30);
     int hall = 0;
     for (int id = 1; id <= 200; id++) {
       b.call(id, SAFE, id % 20);
@@ -841,7 +841,7 @@
   }
 
   private static Settings among(int siblings) {
-    Settings s = Bench.settings(true, Group.ALL);
+    Settings s = DispatcherFixture.settings(true, Group.ALL);
     return new Settings(
         0,
         siblings,
@@ -868,7 +868,7 @@
   void manyFrontEndsGiveFewOrdersForTheSameHomes() {
     int orders = 0;
     for (int seed = 1; seed <= 14; seed++) {
-      Bench b = new Bench(among(14), seed).list(20);
+      DispatcherFixture b = new DispatcherFixture(among(14), seed).list(20);
       for (int id = 1; id <= 200; id++) {
         b.call(id, SAFE, id % 4);
         b.outcome(b.lastSend(), 0, Code.OK, 20).pass(50);
@@ -884,7 +884,7 @@
    */
   @Test
   void aSilentWorkerGetsNoOrders() {
-    Bench b = new Bench(among(14), 7).list(1);
+    DispatcherFixture b = new DispatcherFixture(among(14), 7).list(1);
     b.call(1, SAFE, 1).outcome(b.lastSend(), 0, Code.OK, 20);
     b.call(2, UNSAFE, 1).pass(2_000); // no answer comes
     for (int id = 3; id <= 5; id++) {
@@ -905,7 +905,7 @@
     int first = 0;
     int again = 0;
     for (boolean repeat : new boolean[] {false, true}) {
-      Bench b = new Bench(among(14), 7).list(20);
+      DispatcherFixture b = new DispatcherFixture(among(14), 7).list(20);
       for (int id = 1; id <= 100; id++) {
         b.event(new Call(id, 400 * MS, 0, id % 50, 2, 300, UNSAFE, 0, repeat, false, 900 * MS))
             .at(20);
@@ -920,7 +920,7 @@
   /** One call a second shows that a worker is slow, if it isn't forgotten within five. */
   @Test
   void aSlowWorkerIsKnownByFewCalls() {
-    Bench b = new Bench(among(14), 7).list(40);
+    DispatcherFixture b = new DispatcherFixture(among(14), 7).list(40);
     double slowest = 0;
     for (int id = 1; id <= 400; id++) {
       b.call(id, SAFE, id % 120);
@@ -937,12 +937,12 @@
    */
   @Test
   void aCopyThatOthersWantIsOrderedWithinTheRation() {
-    Bench b = new Bench(Bench.settings(true, Group.ALL), 7).list(3).call(1, SAFE, 9);
+    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), 7).list(3).call(1, SAFE, 9);
     b.event(
         new Members(
             ListKind.DELTA,
             List.of(
-                Bench.member(2, State.DRAINING, 0), Bench.member(3, State.READY, b.now - SECOND))));
+                DispatcherFixture.member(2, State.DRAINING, 0), DispatcherFixture.member(3, State.READY, b.now - SECOND))));
     for (int worker : new int[] {2, 3, 77}) {
       b.event(new Wanted(worker, 9));
     }
@@ -957,7 +957,7 @@
   /** A deployment without a ration of loads: no default takes its place. */
   @Test
   void anAbsentRationIsNoRation() {
-    Settings s = Bench.settings(true, Group.ALL);
+    Settings s = DispatcherFixture.settings(true, Group.ALL);
     Settings none =
         new Settings(
             0,
@@ -975,7 +975,7 @@
             new Loads(true, true, 0, 0, 0, 10 * SECOND, false, true, 0),
             s.report(),
             s.costs());
-    Bench b = new Bench(none, 7).list(3).call(1, SAFE, 9);
+    DispatcherFixture b = new DispatcherFixture(none, 7).list(3).call(1, SAFE, 9);
     for (int i = 0; i < 50; i++) {
       b.event(new Wanted(1, 9));
     }
@@ -988,7 +988,7 @@
    */
   @Test
   void laterHearsayBenchesAndLetsTry() {
-    Bench b = bench().list(6).call(1, SAFE, 9);
+    DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
     int worker = b.lastSend().worker();
     b.outcome(b.lastSend(), 0, Code.OK, 20).at(100);
     b.event(new KnownWorker(worker, 1, 1, 200 * MS, 1)).pass(100); // seen before the answer
--- a/src/test/java/saddlestall/Bench.java
+++ b/src/test/java/saddlestall/DispatcherFixture.java
@@ -5,7 +5,7 @@
 import saddlestall.Dispatcher.*;
 
 /** Builds settings and events for tests, and keeps the actions of one instance. */
-final class Bench {
+final class DispatcherFixture {
   static final long MS = 1_000;
   static final long SECOND = 1_000_000;
   static final int SAFE = 0;
@@ -13,12 +13,12 @@
   static final int KEYED = 2;
 
   final List<Action> actions = new ArrayList<>();
-  final Choice choice;
+  final AdaptiveDispatcher choice;
   long now;
 
-  Bench(Settings settings, long seed) {
+  DispatcherFixture(Settings settings, long seed) {
     now = 100 * SECOND;
-    choice = new Choice(settings, seed, now, actions::add);
+    choice = new AdaptiveDispatcher(settings, seed, now, actions::add);
   }
 
   static Settings settings(boolean orders, Group group) {
@@ -54,7 +54,7 @@
   }
 
   /** Gives the whole list: workers 1 to n, long up. */
-  Bench list(int n) {
+  DispatcherFixture list(int n) {
     List<Member> members = new ArrayList<>();
     for (int id = 1; id <= n; id++) {
       members.add(member(id, State.READY, 0));
@@ -62,7 +62,7 @@
     return event(new Members(ListKind.FULL, members));
   }
 
-  Bench event(Event event) {
+  DispatcherFixture event(Event event) {
     choice.handle(now, event, actions::add);
     return this;
   }
@@ -71,25 +71,25 @@
     choice.recall(now, facts);
   }
 
-  Bench at(long millis) {
+  DispatcherFixture at(long millis) {
     now += millis * MS;
     return this;
   }
 
   /** Lets time pass in ticks. */
-  Bench pass(long millis) {
+  DispatcherFixture pass(long millis) {
     for (long t = 0; t < millis; t += 50) {
       at(50).event(new Due(-1));
     }
     return this;
   }
 
-  Bench call(int id, int callClass, long function) {
+  DispatcherFixture call(int id, int callClass, long function) {
     return event(
         new Call(id, 2500 * MS, 0, function, 2, 300, callClass, 0, false, false, 500 * MS));
   }
 
-  Bench outcome(Send send, int attempt, Code code, long tookMillis) {
+  DispatcherFixture outcome(Send send, int attempt, Code code, long tookMillis) {
     Note note = code == Code.OK ? Note.WARM : Note.NONE;
     return event(
         new Outcome(
--- a/src/test/java/saddlestall/EmbeddingTest.java
+++ b/src/test/java/saddlestall/EmbeddingTest.java
@@ -34,7 +34,7 @@
   @Test
   void servesACall() {
     Consumer<Action> actions = this::carryOut;
-    Dispatcher front = new Choice(Bench.settings(false, Group.ALL), 42, now, actions);
+    Dispatcher front = new AdaptiveDispatcher(DispatcherFixture.settings(false, Group.ALL), 42, now, actions);
     front.handle(
         now,
         new Members(
--- a/src/test/java/saddlestall/RenewalTest.java
+++ b/src/test/java/saddlestall/RenewalTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.Bench.MS;
-import static saddlestall.Bench.SAFE;
+import static saddlestall.DispatcherFixture.MS;
+import static saddlestall.DispatcherFixture.SAFE;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,26 +17,26 @@
 class RenewalTest {
   private static final long FUNCTION = 9;
 
-  private static Bench bench(boolean orders) {
-    return new Bench(Bench.settings(orders, Group.ALL), 7).list(4);
+  private static DispatcherFixture bench(boolean orders) {
+    return new DispatcherFixture(DispatcherFixture.settings(orders, Group.ALL), 7).list(4);
   }
 
   /** Serves a call; the worker that did. */
-  private static int serve(Bench b, int call) {
+  private static int serve(DispatcherFixture b, int call) {
     b.call(call, SAFE, FUNCTION);
     int worker = b.lastSend().worker();
     b.at(20).outcome(b.lastSend(), 0, Code.OK, 20);
     return worker;
   }
 
-  private static Bench full(Bench b, Send send, int crowd) {
+  private static DispatcherFixture full(DispatcherFixture b, Send send, int crowd) {
     return b.event(
         new Outcome(send.call(), 0, send.worker(), Code.FULL, MS, false, Note.NONE, crowd, null));
   }
 
   @Test
   void aPermissionThatEndsIsRenewedByAnOrderForWhatStandsThere() {
-    Bench b = bench(true);
+    DispatcherFixture b = bench(true);
     int worker = serve(b, 1);
     b.event(new Expiring(List.of(worker), 1));
     assertEquals(List.of(new Hold(worker, FUNCTION, 1)), b.all(Hold.class));
@@ -47,7 +47,7 @@
    */
   @Test
   void renewalsArePacedWithinTheRation() {
-    Bench b = bench(true);
+    DispatcherFixture b = bench(true);
     serve(b, 1);
     for (int i = 0; i < 100; i++) {
       b.event(new Expiring(List.of(1, 2, 3, 4), 4));
@@ -59,7 +59,7 @@
 
   @Test
   void whereOrdersAreNotAllowedACallGoesToTheWorkerWhosePermissionEnds() {
-    Bench b = bench(false);
+    DispatcherFixture b = bench(false);
     int usual = serve(b, 1);
     int other = usual % 4 + 1;
     b.event(new Expiring(List.of(other), 1));
@@ -86,7 +86,7 @@
    * twenty.
    */
   private static int triesOfFullWorker(int crowd) {
-    Bench b = bench(false);
+    DispatcherFixture b = bench(false);
     int full = serve(b, 1);
     int tries = 0;
     for (int call = 2; call < 1_202; call++) {
--- a/src/test/java/saddlestall/RulesTest.java
+++ b/src/test/java/saddlestall/RulesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.Bench.MS;
+import static saddlestall.DispatcherFixture.MS;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -37,7 +37,7 @@
   private final List<Long> took = new ArrayList<>();
   private final List<Long> orders = new ArrayList<>();
   private final StringBuilder trace = new StringBuilder();
-  private Bench b;
+  private DispatcherFixture b;
   private int checked;
 
   @ParameterizedTest
@@ -52,8 +52,8 @@
   }
 
   private void run(long seed) {
-    Settings s = Bench.settings(true, Group.CELL);
-    b = new Bench(s, seed);
+    Settings s = DispatcherFixture.settings(true, Group.CELL);
+    b = new DispatcherFixture(s, seed);
     Random r = new Random(seed);
     int id = 0;
     for (int step = 0; step < STEPS; step++) {
@@ -96,7 +96,7 @@
     for (Seen c : new ArrayList<>(calls.values())) {
       if (!c.over && c.deadline <= b.now) {
         b.event(new Due(c.call.id()));
-        check(Bench.settings(true, Group.CELL));
+        check(DispatcherFixture.settings(true, Group.CELL));
         assertTrue(c.over, "call " + c.call.id() + " has no answer at its deadline");
       }
     }
@@ -108,7 +108,7 @@
       if (r.nextInt(3) == 0) {
         State state = State.values()[Math.min(2, r.nextInt(6))];
         lines.add(
-            Bench.member(
+            DispatcherFixture.member(
                 w, r.nextInt(2) == 0 ? State.READY : state, r.nextInt(4) == 0 ? b.now : 0));
       }
     }
--- a/src/test/java/saddlestall/SizeTest.java
+++ b/src/test/java/saddlestall/SizeTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.Bench.MS;
-import static saddlestall.Bench.SAFE;
-import static saddlestall.Bench.SECOND;
+import static saddlestall.DispatcherFixture.MS;
+import static saddlestall.DispatcherFixture.SAFE;
+import static saddlestall.DispatcherFixture.SECOND;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,7 +21,7 @@
   private static final int WORKERS = 40;
 
   private static Settings settings(int siblings) {
-    Settings s = Bench.settings(false, Group.ALL);
+    Settings s = DispatcherFixture.settings(false, Group.ALL);
     return new Settings(
         0,
         siblings,
@@ -40,18 +40,18 @@
         s.costs());
   }
 
-  private static List<Bench> fronts() {
-    List<Bench> fronts = new ArrayList<>();
+  private static List<DispatcherFixture> fronts() {
+    List<DispatcherFixture> fronts = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
-      fronts.add(new Bench(settings(FRONTS), i).list(WORKERS));
+      fronts.add(new DispatcherFixture(settings(FRONTS), i).list(WORKERS));
     }
     return fronts;
   }
 
   /** Three calls a second at each; every answer comes 100 ms later, from a warm copy. */
-  private static void second(List<Bench> fronts, int from, int functions) {
+  private static void second(List<DispatcherFixture> fronts, int from, int functions) {
     for (int i = 0; i < fronts.size(); i++) {
-      Bench b = fronts.get(i);
+      DispatcherFixture b = fronts.get(i);
       for (int k = 0; k < 3; k++) {
         int id = from + k;
         b.call(id, SAFE, (i * 7 + id * 13) % functions);
@@ -66,12 +66,12 @@
 
   @Test
   void oneCallOfARareFunctionDoesNotOpenDozensOfHomes() {
-    List<Bench> fronts = fronts();
+    List<DispatcherFixture> fronts = fronts();
     for (int t = 0; t < 10; t++) {
       second(fronts, 3 * t, 60);
     }
     Set<Integer> homes = new HashSet<>();
-    for (Bench b : fronts) {
+    for (DispatcherFixture b : fronts) {
       b.call(900, SAFE, 12345);
       homes.add(b.sends(900).get(0).worker());
     }
@@ -81,12 +81,12 @@
 
   @Test
   void allTogetherSpareAColdWorkerAndStillUseIt() {
-    List<Bench> fronts = fronts();
+    List<DispatcherFixture> fronts = fronts();
     for (int t = 0; t < 6; t++) {
       second(fronts, 3 * t, 240);
     }
-    for (Bench b : fronts) {
-      b.event(new Members(ListKind.DELTA, List.of(Bench.member(99, State.READY, b.now))));
+    for (DispatcherFixture b : fronts) {
+      b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(99, State.READY, b.now))));
     }
     int sent = 0;
     for (int t = 6; t < 14; t++) {
@@ -107,7 +107,7 @@
   @ParameterizedTest
   @CsvSource({"1, 1", "1, 50", "5000, 1", "5000, 2000"})
   void anySizeIsServed(int siblings, int workers) {
-    Bench b = new Bench(settings(siblings), 1).list(workers);
+    DispatcherFixture b = new DispatcherFixture(settings(siblings), 1).list(workers);
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, id % 3).pass(50);
       assertEquals(1, b.sends(id).size());
@@ -136,7 +136,7 @@
             s.loads(),
             s.report(),
             s.costs());
-    Bench b = new Bench(rated, 4);
+    DispatcherFixture b = new DispatcherFixture(rated, 4);
     List<Member> members = new ArrayList<>();
     for (int id = 1; id <= 10; id++) {
       members.add(new Member(id, 0, 0, 0, State.READY, id <= 5 ? 3 : 1, 0));
@@ -157,7 +157,7 @@
    */
   @Test
   void aCallWithLittleTimeGoesOnlyWhereACopyWasSeen() {
-    Bench b = new Bench(settings(FRONTS), 2).list(WORKERS);
+    DispatcherFixture b = new DispatcherFixture(settings(FRONTS), 2).list(WORKERS);
     for (int id = 1; id <= 30; id++) {
       b.at(100).event(new Due(-1)).call(id, SAFE, 7).outcome(b.lastSend(), 0, Code.OK, 40);
     }
@@ -174,7 +174,7 @@
   }
 
   /** Sends to workers 100 and up, by worker, since the counts in {@code before}. */
-  private static int toNew(List<Bench> fronts) {
+  private static int toNew(List<DispatcherFixture> fronts) {
     return fronts.stream()
         .mapToInt(b -> (int) b.all(Send.class).stream().filter(s -> s.worker() >= 100).count())
         .sum();
@@ -187,15 +187,15 @@
   @ParameterizedTest
   @CsvSource({"10", "30", "38", "40"})
   void aFleetThatIsReplacedAtOnceSparesItsColdWorkers(int replaced) {
-    List<Bench> fronts = fronts();
+    List<DispatcherFixture> fronts = fronts();
     for (int t = 0; t < 6; t++) {
       second(fronts, 3 * t, 240);
     }
-    for (Bench b : fronts) {
+    for (DispatcherFixture b : fronts) {
       List<Member> news = new ArrayList<>();
       for (int id = 1; id <= replaced; id++) {
-        news.add(Bench.member(id, State.DRAINING, 0));
-        news.add(Bench.member(100 + id, State.READY, b.now));
+        news.add(DispatcherFixture.member(id, State.DRAINING, 0));
+        news.add(DispatcherFixture.member(100 + id, State.READY, b.now));
       }
       b.event(new Members(ListKind.DELTA, news));
     }
@@ -222,21 +222,21 @@
    */
   @Test
   void aRushToOneColdWorkerStaysWithinWhatItBears() {
-    List<Bench> fronts = fronts();
+    List<DispatcherFixture> fronts = fronts();
     for (int t = 0; t < 6; t++) {
       second(fronts, 3 * t, 240);
     }
-    for (Bench b : fronts) {
-      b.event(new Members(ListKind.DELTA, List.of(Bench.member(100, State.READY, b.now))));
+    for (DispatcherFixture b : fronts) {
+      b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(100, State.READY, b.now))));
     }
     for (int t = 6; t < 10; t++) {
       second(fronts, 3 * t, 240);
     }
     int before = toNew(fronts);
-    for (Bench b : fronts) {
+    for (DispatcherFixture b : fronts) {
       List<Member> gone = new ArrayList<>();
       for (int id = 1; id <= WORKERS; id++) {
-        gone.add(Bench.member(id, State.DRAINING, 0));
+        gone.add(DispatcherFixture.member(id, State.DRAINING, 0));
       }
       b.event(new Members(ListKind.DELTA, gone));
     }
@@ -254,12 +254,12 @@
    */
   @Test
   void aStartAmongColdWorkersServesWithinWhatTheyBear() {
-    List<Bench> fronts = new ArrayList<>();
+    List<DispatcherFixture> fronts = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
-      Bench b = new Bench(settings(FRONTS), i);
+      DispatcherFixture b = new DispatcherFixture(settings(FRONTS), i);
       List<Member> cold = new ArrayList<>();
       for (int id = 101; id <= 100 + WORKERS; id++) {
-        cold.add(Bench.member(id, State.READY, b.now - 5 * SECOND));
+        cold.add(DispatcherFixture.member(id, State.READY, b.now - 5 * SECOND));
       }
       fronts.add(b.event(new Members(ListKind.FULL, cold)));
     }
--- a/src/test/java/saddlestall/benchlink/WireTest.java
+++ b/src/test/java/saddlestall/benchlink/FrameCodecTest.java
@@ -17,11 +17,11 @@
 import saddlestall.Dispatcher.*;
 
 /** Frames by the layout of the wire, both ways, and each kind of malformed one. */
-class WireTest {
+class FrameCodecTest {
   private final List<Object> seen = new ArrayList<>();
 
-  private final Wire.Sink sink =
-      new Wire.Sink() {
+  private final FrameCodec.Sink sink =
+      new FrameCodec.Sink() {
         @Override
         public void select(int instance) {
           seen.add("select " + instance);
@@ -57,7 +57,7 @@
 
   private List<Object> read(byte[] frame) throws IOException {
     seen.clear();
-    new Wire().read(Wire.readFrame(new ByteArrayInputStream(frame)), sink);
+    new FrameCodec().read(FrameCodec.readFrame(new ByteArrayInputStream(frame)), sink);
     return seen;
   }
 
@@ -140,31 +140,31 @@
   @Test
   void refusesMalformedFrames() {
     byte[] whole = frame("", "0d 00000003");
-    assertThrows(Wire.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 30))); // truncated
+    assertThrows(FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 30))); // truncated
     assertThrows(
-        Wire.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 9))); // in the header
+        FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 9))); // in the header
     byte[] many = whole.clone();
     many[3] = 9; // more records than bytes
-    assertThrows(Wire.BadFrame.class, () -> read(many));
+    assertThrows(FrameCodec.BadFrame.class, () -> read(many));
     byte[] tiny = whole.clone();
     tiny[7] = 3; // a length below the header's
-    assertThrows(Wire.BadFrame.class, () -> read(tiny));
+    assertThrows(FrameCodec.BadFrame.class, () -> read(tiny));
     assertThrows(
-        Wire.BadFrame.class,
+        FrameCodec.BadFrame.class,
         () -> read(frame("", "01 0000000000000005 00000000 00000002"))); // no tail
     assertThrows(
-        Wire.BadFrame.class, () -> read(frame("", "02 02 0000000000000029 0044"))); // list number
-    assertThrows(Wire.BadFrame.class, () -> read(frame("", "02 07"))); // kind of list
+        FrameCodec.BadFrame.class, () -> read(frame("", "02 02 0000000000000029 0044"))); // list number
+    assertThrows(FrameCodec.BadFrame.class, () -> read(frame("", "02 07"))); // kind of list
   }
 
   @Test
   void endOfInputBetweenFramesIsTheEnd() throws IOException {
-    assertNull(Wire.readFrame(new ByteArrayInputStream(new byte[0])));
+    assertNull(FrameCodec.readFrame(new ByteArrayInputStream(new byte[0])));
   }
 
   @Test
   void writesActions() throws IOException {
-    Wire.Reply reply = new Wire.Reply();
+    FrameCodec.Reply reply = new FrameCodec.Reply();
     reply.from(3);
     reply.add(new Send(0x5d3a91c4, 0x03124a07, 80_000));
     reply.add(new Timer(500_000, 77));
--- a/src/test/java/umberrun/DeployTest.java
+++ b/src/test/java/umberrun/DeployTest.java
@@ -21,7 +21,7 @@
 import org.junit.Test;
 import saddlestall.Dispatcher.Settings;
 import saddlestall.benchlink.SettingsJson;
-import umberrun.front.rpc.RpcFront;
+import umberrun.front.rpc.RpcServer;
 
 /** What the deploy file and the build agree on. */
 public class DeployTest {
@@ -50,10 +50,10 @@
     String classes = startAndServe("-XX:DumpLoadedClassList=%s");
     for (String needed :
         List.of(
-            "umberrun/Rehearsal",
-            "umberrun/worker/Link",
+            "umberrun/WarmUp",
+            "umberrun/worker/WorkerConnection",
             "umberrun/front/rpc/RpcConnection$1",
-            "umberrun/roll/ChangeLog",
+            "umberrun/workerlist/ChangeLogSource",
             "io/netty/handler/codec/http/HttpClientCodec")) {
       assertTrue(needed, classes.lines().anyMatch(needed::equals));
     }
@@ -62,7 +62,7 @@
     for (String off :
         List.of(
             "umberrun/fleet/",
-            "umberrun/agreement/",
+            "umberrun/consensus/",
             "umberrun/lease/",
             "umberrun/works/",
             "umberrun/sim/",
@@ -99,12 +99,12 @@
    */
   @Test
   public void aStartRehearsesForTheCallsThatItsSettingsLetExpect() throws Exception {
-    assertEquals(300, Rehearsal.turns(settings("{QuotaPerS:74},{QuotaPerS:138}")));
-    assertEquals(2_850, Rehearsal.turns(settings("{QuotaPerS:2850}")));
-    assertEquals(3_200, Rehearsal.turns(settings("{QuotaPerS:1e9}")));
+    assertEquals(300, WarmUp.turns(settings("{QuotaPerS:74},{QuotaPerS:138}")));
+    assertEquals(2_850, WarmUp.turns(settings("{QuotaPerS:2850}")));
+    assertEquals(3_200, WarmUp.turns(settings("{QuotaPerS:1e9}")));
     Vertx vertx = Vertx.vertx();
     try {
-      int one = RpcFront.rehearsalRequest(1).length();
+      int one = RpcServer.rehearsalRequest(1).length();
       AtomicInteger bytes = new AtomicInteger();
       NetServer front =
           vertx
@@ -116,14 +116,14 @@
                             int before = bytes.get() / one;
                             int whole = bytes.addAndGet(b.length()) / one - before;
                             s.write(
-                                Buffer.buffer(new byte[whole * RpcFront.heartbeatAnswerBytes()]));
+                                Buffer.buffer(new byte[whole * RpcServer.heartbeatAnswerBytes()]));
                           }));
       int port =
           front.listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get().actualPort();
       Promise<Void> done = Promise.promise();
       vertx.runOnContext(
           v ->
-              Rehearsal.sockets(vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), 300)
+              WarmUp.sockets(vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), 300)
                   .onComplete(done));
       done.future().toCompletionStage().toCompletableFuture().get();
       int asked = bytes.get() / one;
--- a/src/test/java/umberrun/FleetProcessesIT.java
+++ b/src/test/java/umberrun/FleetProcessesIT.java
@@ -20,10 +20,10 @@
 import org.junit.Test;
 import umberrun.fleet.About;
 import umberrun.fleet.Claim;
-import umberrun.fleet.Life;
-import umberrun.fleet.Message;
-import umberrun.fleet.net.Codec;
-import umberrun.fleet.net.Codec.Frame;
+import umberrun.fleet.ProcessGeneration;
+import umberrun.fleet.GossipMessage;
+import umberrun.fleet.net.FleetCodec;
+import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
 
 /**
@@ -248,15 +248,15 @@
     Claim old =
         new Claim(
             "n1",
-            new Life(1, 1),
+            new ProcessGeneration(1, 1),
             0,
             Claim.Status.DEAD,
             new About("hall-a", node(1).address(), About.State.SERVING, "", "", "", 0, false),
             "n9",
             0);
-    Message word = new Message(Message.Kind.PING, 1, "n0", "", old, List.of(old));
-    byte[] replayed = new Codec(Processes.FLEET).encode(word);
-    byte[] foreign = new Codec("other").encode(word);
+    GossipMessage word = new GossipMessage(GossipMessage.Kind.PING, 1, "n0", "", old, List.of(old));
+    byte[] replayed = new FleetCodec(Processes.FLEET).encode(word);
+    byte[] foreign = new FleetCodec("other").encode(word);
     Random random = new Random(3);
     try (DatagramSocket s = new DatagramSocket()) {
       for (int i = 0; i < 200; i++) {
--- a/src/test/java/umberrun/FleetScenariosTest.java
+++ b/src/test/java/umberrun/FleetScenariosTest.java
@@ -21,10 +21,10 @@
 import umberrun.config.Config.BadConfig;
 import umberrun.fleet.About;
 import umberrun.fleet.Claim;
-import umberrun.fleet.Life;
-import umberrun.fleet.Message;
-import umberrun.fleet.net.Codec;
-import umberrun.fleet.net.Codec.Unusable;
+import umberrun.fleet.ProcessGeneration;
+import umberrun.fleet.GossipMessage;
+import umberrun.fleet.net.FleetCodec;
+import umberrun.fleet.net.FleetCodec.UndecodableException;
 
 /**
  * The view of the fleet in front ends of this process: settings, bytes, the catalogue and the
@@ -34,7 +34,7 @@
   private static final Claim SELF =
       new Claim(
           "n1",
-          new Life(3, -7),
+          new ProcessGeneration(3, -7),
           9,
           Claim.Status.ALIVE,
           new About(
@@ -97,28 +97,28 @@
    */
   @Test
   public void whatCantBeReadIsUnusable() throws Exception {
-    Message m =
-        new Message(
-            Message.Kind.ASK,
+    GossipMessage m =
+        new GossipMessage(
+            GossipMessage.Kind.ASK,
             77,
             "n2",
             "127.0.0.1:7201",
             SELF,
             List.of(new Claim("n4", SELF.life(), 2, Claim.Status.SUSPECT, null, "n5", 0)));
-    byte[] bytes = new Codec("yard").encode(m);
-    assertEquals(m, new Codec("yard").message(bytes));
+    byte[] bytes = new FleetCodec("yard").encode(m);
+    assertEquals(m, new FleetCodec("yard").message(bytes));
     for (int i = 0; i < bytes.length; i++) {
       byte[] torn = Arrays.copyOf(bytes, i);
-      assertThrows(Unusable.class, () -> new Codec("yard").message(torn));
+      assertThrows(UndecodableException.class, () -> new FleetCodec("yard").message(torn));
       byte[] turned = bytes.clone();
       turned[i] ^= 0x55;
       try {
-        new Codec("yard").message(turned);
-      } catch (Unusable e) {
+        new FleetCodec("yard").message(turned);
+      } catch (UndecodableException e) {
         // one of the two it must be, and nothing else
       }
     }
-    assertTrue(assertThrows(Unusable.class, () -> new Codec("other").message(bytes)).foreign);
+    assertTrue(assertThrows(UndecodableException.class, () -> new FleetCodec("other").message(bytes)).foreign);
   }
 
   /** A later version's further fields, at each level, are passed over. */
@@ -152,7 +152,7 @@
         .packString("new");
     out.packMapHeader(1).packString("new").packInt(1);
     out.packArrayHeader(0).packArrayHeader(2).packInt(1).packNil();
-    assertEquals(SELF, new Codec("yard").message(out.toByteArray()).from());
+    assertEquals(SELF, new FleetCodec("yard").message(out.toByteArray()).from());
   }
 
   /** A datagram stays within its bound whatever rides on it. */
@@ -166,9 +166,9 @@
                         "member-" + i, SELF.life(), 1, Claim.Status.ALIVE, SELF.about(), "", 0))
             .toList();
     byte[] bytes =
-        new Codec("yard").encode(new Message(Message.Kind.PING, 1, "n2", "", SELF, many));
+        new FleetCodec("yard").encode(new GossipMessage(GossipMessage.Kind.PING, 1, "n2", "", SELF, many));
     assertTrue(
-        bytes.length + " bytes", bytes.length <= Codec.MOST_DATAGRAM && bytes.length > 1_200);
+        bytes.length + " bytes", bytes.length <= FleetCodec.MOST_DATAGRAM && bytes.length > 1_200);
   }
 
   /**
--- a/src/test/java/umberrun/LeaseFigures.java
+++ b/src/test/java/umberrun/LeaseFigures.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import umberrun.agreement.net.Registers;
+import umberrun.consensus.net.RegisterManager;
 import umberrun.config.LeaseOptions;
 import umberrun.core.Clock;
 import umberrun.stats.Counters;
@@ -65,7 +65,7 @@
         umberrun.fleet.net.FleetClient.ask(
             "127.0.0.1",
             p.nodes.get(3).fleet,
-            umberrun.fleet.net.Codec.Frame.Kind.CALL,
+            umberrun.fleet.net.FleetCodec.Frame.Kind.CALL,
             "leases found");
       }
       Thread.sleep(TimeUnit.SECONDS.toMillis(SECONDS)); // warm
@@ -108,7 +108,7 @@
   private static void changes(int voters) throws Exception {
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     List<String> names = IntStream.range(0, voters).mapToObj(i -> "v" + i).toList();
-    Map<String, Registers> all = new TreeMap<>();
+    Map<String, RegisterManager> all = new TreeMap<>();
     AtomicInteger done = new AtomicInteger();
     CountDownLatch founded = new CountDownLatch(1);
     vertx.runOnContext(
@@ -128,7 +128,7 @@
                       1_000);
               all.put(
                   name,
-                  new Registers(
+                  new RegisterManager(
                       vertx,
                       new Clock(),
                       options,
@@ -137,7 +137,7 @@
                       name.hashCode(),
                       new Counters(),
                       s -> {},
-                      new Registers.Post() {
+                      new RegisterManager.Transport() {
                         @Override
                         public void send(String to, byte[] body) {
                           context.runOnContext(x -> all.get(to).receive(name, body));
@@ -152,7 +152,7 @@
               throw new java.io.UncheckedIOException(e);
             }
           }
-          all.values().forEach(Registers::open);
+          all.values().forEach(RegisterManager::open);
           vertx.setTimer(500, t -> all.get("v0").found());
           vertx.setPeriodic(
               100,
@@ -177,7 +177,7 @@
     vertx.close();
   }
 
-  private static void change(Clock clock, Registers.Way way, String register, AtomicInteger done) {
+  private static void change(Clock clock, RegisterManager.RegisterClient way, String register, AtomicInteger done) {
     way.change(
         register,
         v -> v.next("x"),
--- a/src/test/java/umberrun/LeaseProcessesIT.java
+++ b/src/test/java/umberrun/LeaseProcessesIT.java
@@ -28,7 +28,7 @@
 import org.junit.FixMethodOrder;
 import org.junit.Test;
 import org.junit.runners.MethodSorters;
-import umberrun.fleet.net.Codec.Frame;
+import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
 
 /**
--- a/src/test/java/umberrun/LeaseScenariosTest.java
+++ b/src/test/java/umberrun/LeaseScenariosTest.java
@@ -13,15 +13,15 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.Test;
-import umberrun.agreement.Founding;
-import umberrun.agreement.Message;
-import umberrun.agreement.Voters;
+import umberrun.consensus.VoterBootstrap;
+import umberrun.consensus.ConsensusMessage;
+import umberrun.consensus.VoterSet;
 import umberrun.config.Config;
 import umberrun.config.Config.BadConfig;
-import umberrun.lease.Candidacy;
-import umberrun.lease.Candidacy.Candidate;
-import umberrun.lease.Fences;
-import umberrun.lease.HallWatch;
+import umberrun.lease.CandidateRanking;
+import umberrun.lease.CandidateRanking.Candidate;
+import umberrun.lease.FenceRegistry;
+import umberrun.lease.HallHealthMonitor;
 
 /** Settings of leases, and their smaller decisions each by itself. */
 public class LeaseScenariosTest {
@@ -91,14 +91,14 @@
                 new Candidate("c", "y", true, 1),
                 new Candidate("d", "y", false, 0),
                 new Candidate("e", "z", true, 0)));
-    assertEquals(0, Candidacy.place("probe/y", "y", "c", all));
-    assertEquals(1, Candidacy.place("probe/y", "y", "b", all));
-    assertEquals("not fit", all.size(), Candidacy.place("probe/y", "y", "d", all));
+    assertEquals(0, CandidateRanking.place("probe/y", "y", "c", all));
+    assertEquals(1, CandidateRanking.place("probe/y", "y", "b", all));
+    assertEquals("not fit", all.size(), CandidateRanking.place("probe/y", "y", "d", all));
     List<Integer> places =
-        all.stream().map(c -> Candidacy.place("beacon", "", c.name(), all)).sorted().toList();
+        all.stream().map(c -> CandidateRanking.place("beacon", "", c.name(), all)).sorted().toList();
     assertEquals(List.of(0, 1, 2, 3, 5), places);
     java.util.Collections.shuffle(all, new java.util.Random(5));
-    assertEquals(0, Candidacy.place("probe/y", "y", "c", all));
+    assertEquals(0, CandidateRanking.place("probe/y", "y", "c", all));
   }
 
   /**
@@ -107,7 +107,7 @@
    */
   @Test
   public void oldActsAreRefusedAlsoAfterARestart() {
-    Fences f = new Fences();
+    FenceRegistry f = new FenceRegistry();
     assertFalse(f.take("d", 7));
     f.read("d", 5);
     assertFalse(f.take("d", 4));
@@ -123,7 +123,7 @@
    */
   @Test
   public void aHallIsJudgedByAnswers() {
-    HallWatch w = new HallWatch(100);
+    HallHealthMonitor w = new HallHealthMonitor(100);
     List<String> names = List.of("a", "b", "c", "d");
     long now = 1_000;
     for (int round = 0; round < 6; round++, now += 100) {
@@ -133,7 +133,7 @@
         }
       }
     }
-    Map<String, HallWatch.Reading> seen = new java.util.TreeMap<>();
+    Map<String, HallHealthMonitor.HealthReading> seen = new java.util.TreeMap<>();
     w.news().forEach(r -> seen.put(r.worker(), r));
     assertEquals(java.util.Set.of("b", "c"), seen.keySet());
     assertEquals(1, seen.get("b").bad(), 0);
@@ -156,28 +156,28 @@
   public void aFoundingNeedsAllOfThem() {
     for (String fault : List.of("", "its file names other voters", "voted")) {
       List<String> ended = new ArrayList<>();
-      Founding[] f = new Founding[1];
+      VoterBootstrap[] f = new VoterBootstrap[1];
       f[0] =
-          new Founding(
+          new VoterBootstrap(
               List.of("c", "a", "b"),
               1_000_000,
-              new Founding.Outbox() {
+              new VoterBootstrap.Outbox() {
                 @Override
-                public void send(String to, Message m) {
+                public void send(String to, ConsensusMessage m) {
                   answers.add(
                       () ->
                           f[0].receive(
                               1,
                               to,
-                              m instanceof Message.AskSeat a
-                                  ? new Message.SeatIs(
+                              m instanceof ConsensusMessage.VoterQuery a
+                                  ? new ConsensusMessage.VoterDescription(
                                       m.op(),
                                       a.make() ? to + "#1" : "",
                                       to.equals("b") && fault.equals("voted")
-                                          ? Voters.first(List.of("b#9"))
-                                          : Voters.UNKNOWN,
+                                          ? VoterSet.first(List.of("b#9"))
+                                          : VoterSet.UNKNOWN,
                                       to.equals("b") && !fault.equals("voted") ? fault : "")
-                                  : new Message.Installed(m.op())));
+                                  : new ConsensusMessage.Installed(m.op())));
                 }
 
                 @Override
@@ -186,7 +186,7 @@
                 }
 
                 @Override
-                public void done(Voters founded, String why) {
+                public void done(VoterSet founded, String why) {
                   ended.add(founded == null ? why : founded.text());
                 }
 
@@ -217,14 +217,14 @@
               .ints(random.nextInt(1, 6), 0, 99)
               .mapToObj(n -> "n" + n + "#" + Integer.toHexString(n))
               .toList();
-      Voters v =
-          new Voters(
+      VoterSet v =
+          new VoterSet(
               random.nextLong(1, 99),
               keys,
               random.nextBoolean() ? keys.get(0) : "",
               random.nextBoolean() ? keys : List.of());
-      assertEquals(v, Voters.read(v.text()));
+      assertEquals(v, VoterSet.read(v.text()));
     }
-    assertArrayEquals(new Object[] {Voters.UNKNOWN}, new Object[] {Voters.read("")});
+    assertArrayEquals(new Object[] {VoterSet.UNKNOWN}, new Object[] {VoterSet.read("")});
   }
 }
--- a/src/test/java/umberrun/Processes.java
+++ b/src/test/java/umberrun/Processes.java
@@ -30,7 +30,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.Value;
-import umberrun.fleet.net.Codec.Frame;
+import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
 
 /**
--- a/src/test/java/umberrun/StartAndServe.java
+++ b/src/test/java/umberrun/StartAndServe.java
@@ -22,8 +22,8 @@
     Map<String, String> env = new HashMap<>(System.getenv());
     env.put("EDGE_CONFIG", Path.of("examples", "config.json").toString());
     Settings settings = Config.read(env).settings();
-    Rehearsal.module(settings);
-    Rehearsal.framing(Rehearsal.turns(settings));
+    WarmUp.module(settings);
+    WarmUp.framing(WarmUp.turns(settings));
     try (Scenario s = Scenario.of("w1")) {
       s.worker("w1").answersAll = true;
       int id = 0;
--- a/src/test/java/umberrun/WorksService.java
+++ b/src/test/java/umberrun/WorksService.java
@@ -21,7 +21,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.ConcurrentHistogram;
-import umberrun.fleet.net.Codec.Frame;
+import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
 
 /**
