--- a/src/test/java/umberrun/admission/AccountTest.java
+++ b/src/test/java/umberrun/admission/ConnectionLimitsTest.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.Test;
-import umberrun.admission.Account.TooFew;
-import umberrun.admission.Account.Use;
+import umberrun.admission.ConnectionLimits.TooFewDescriptors;
+import umberrun.admission.ConnectionLimits.Purpose;
 
 /** Connections within the descriptors, and shares while two processes live. */
-public class AccountTest {
+public class ConnectionLimitsTest {
 
   /**
    * Whatever opens and closes, alone or beside another process, nothing is held beyond the
@@ -24,10 +24,10 @@
     for (int seed = 0; seed < 300; seed++) {
       Random r = new Random(seed);
       int descriptors = 150 + r.nextInt(2_000);
-      Account a = new Account(descriptors, r.nextBoolean(), r.nextBoolean(), r.nextInt(3));
-      List<Use> open = new ArrayList<>();
+      ConnectionLimits a = new ConnectionLimits(descriptors, r.nextBoolean(), r.nextBoolean(), r.nextInt(3));
+      List<Purpose> open = new ArrayList<>();
       for (int i = 0; i < 3_000; i++) {
-        Use use = Use.values()[r.nextInt(Use.values().length)];
+        Purpose use = Purpose.values()[r.nextInt(Purpose.values().length)];
         int before = a.held(use);
         if (r.nextInt(3) > 0) {
           if (a.open(use)) {
@@ -44,7 +44,7 @@
           a.shareAmong(1 + r.nextInt(2));
         }
         int held = 0;
-        for (Use u : Use.values()) {
+        for (Purpose u : Purpose.values()) {
           held += a.held(u);
         }
         assertEquals("seed " + seed, open.size(), held);
@@ -60,34 +60,34 @@
   @Test
   public void clientsKeepTheirThirdAndLinksAQuarter() throws Exception {
     for (int descriptors = 256; descriptors <= 4_096; descriptors += 16) {
-      Account a = new Account(descriptors, false, false, 0);
-      assertTrue("clients of " + descriptors, a.most(Use.CLIENTS) >= descriptors / 3);
-      assertTrue("links of " + descriptors, a.most(Use.LINKS) > descriptors / 4);
+      ConnectionLimits a = new ConnectionLimits(descriptors, false, false, 0);
+      assertTrue("clients of " + descriptors, a.most(Purpose.CLIENTS) >= descriptors / 3);
+      assertTrue("links of " + descriptors, a.most(Purpose.LINKS) > descriptors / 4);
     }
   }
 
   /** Two processes together stay within one's descriptors, but for the door that each must have. */
   @Test
   public void twoProcessesShareAndKeepWhatTheyHold() throws Exception {
-    Account a = new Account(384, true, true, 1);
-    while (a.open(Use.CLIENTS)) {
+    ConnectionLimits a = new ConnectionLimits(384, true, true, 1);
+    while (a.open(Purpose.CLIENTS)) {
       continue;
     }
-    int alone = a.held(Use.CLIENTS);
+    int alone = a.held(Purpose.CLIENTS);
     a.shareAmong(2);
-    assertEquals("what is there stays", alone, a.held(Use.CLIENTS));
-    assertFalse(a.open(Use.CLIENTS));
-    assertEquals(alone / 2, a.most(Use.CLIENTS));
-    assertEquals(16, a.most(Use.DOOR));
+    assertEquals("what is there stays", alone, a.held(Purpose.CLIENTS));
+    assertFalse(a.open(Purpose.CLIENTS));
+    assertEquals(alone / 2, a.most(Purpose.CLIENTS));
+    assertEquals(16, a.most(Purpose.DOOR));
     a.shareAmong(1);
-    assertEquals(alone, a.most(Use.CLIENTS));
+    assertEquals(alone, a.most(Purpose.CLIENTS));
   }
 
   @Test
   public void tooFewDescriptorsAreSaidAtTheStart() throws Exception {
-    new Account(256, true, true, 1);
+    new ConnectionLimits(256, true, true, 1);
     assertTrue(
-        assertThrows(TooFew.class, () -> new Account(50, false, false, 0))
+        assertThrows(TooFewDescriptors.class, () -> new ConnectionLimits(50, false, false, 0))
             .getMessage()
             .startsWith("limits.sockets of 50 is too few"));
   }
@@ -95,10 +95,10 @@
   /** A place that is returned twice would let one more in than there is room for. */
   @Test
   public void aPlaceIsReturnedOnce() throws Exception {
-    Account a = new Account(256, false, false, 0);
-    a.open(Use.LINKS);
-    a.close(Use.LINKS);
-    assertThrows(IllegalStateException.class, () -> a.close(Use.LINKS));
-    assertEquals(0, a.held(Use.LINKS));
+    ConnectionLimits a = new ConnectionLimits(256, false, false, 0);
+    a.open(Purpose.LINKS);
+    a.close(Purpose.LINKS);
+    assertThrows(IllegalStateException.class, () -> a.close(Purpose.LINKS));
+    assertEquals(0, a.held(Purpose.LINKS));
   }
 }
--- a/src/test/java/umberrun/agreement/RegisterWorldTest.java
+++ b/src/test/java/umberrun/consensus/RegisterModelTest.java
@@ -1,4 +1,4 @@
-package umberrun.agreement;
+package umberrun.consensus;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertNotNull;
@@ -10,17 +10,17 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.Test;
-import umberrun.agreement.sim.RegisterWorld;
-import umberrun.sim.Explorer;
+import umberrun.consensus.sim.RegisterModel;
+import umberrun.sim.ModelChecker;
 
 /** The agreement in all orders of a small case, and the guards of one voter. */
-public class RegisterWorldTest {
+public class RegisterModelTest {
   private static final int MOST = 1_000_000;
 
   /** All orders and losses of the messages of two changes among three voters. */
   @Test
   public void whatWasDoneIsSeenByAllThatFollows() {
-    Explorer e = new Explorer(new RegisterWorld(2, 0, 0, true), MOST);
+    ModelChecker e = new ModelChecker(new RegisterModel(2, 0, 0, true), MOST);
     assertNull(e.explore());
     assertTrue("went through " + e.states(), e.states() > 20_000 && e.isThrough());
   }
@@ -28,7 +28,7 @@
   /** Guards the check: voters that answer first and lose that in a crash. */
   @Test
   public void votersThatAnswerBeforeTheirSyncAreCaught() {
-    assertNotNull(new Explorer(new RegisterWorld(2, 0, 1, false), MOST).explore());
+    assertNotNull(new ModelChecker(new RegisterModel(2, 0, 1, false), MOST).explore());
   }
 
   /**
@@ -39,14 +39,14 @@
   public void aVotersMemoryIsBounded() {
     Voter v = new Voter(Map.of(), 1);
     Ballot b = new Ballot(1, "p");
-    assertNotNull(v.handle(new Message.Prepare(1, "r", b)));
-    assertNull(v.handle(new Message.Prepare(1, "s", b)));
+    assertNotNull(v.handle(new ConsensusMessage.Prepare(1, "r", b)));
+    assertNull(v.handle(new ConsensusMessage.Prepare(1, "s", b)));
     assertNull(
-        v.handle(new Message.Accept(1, "r", b, new Value(1, "x".repeat(Value.MOST_BYTES + 1)))));
+        v.handle(new ConsensusMessage.Accept(1, "r", b, new RegisterValue(1, "x".repeat(RegisterValue.MOST_BYTES + 1)))));
     assertTrue(
-        v.handle(new Message.Accept(1, "r", b, new Value(1, "x"))).answer()
-            instanceof Message.Accepted);
-    assertTrue(v.handle(new Message.Prepare(2, "r", b)).answer() instanceof Message.Refused);
+        v.handle(new ConsensusMessage.Accept(1, "r", b, new RegisterValue(1, "x"))).answer()
+            instanceof ConsensusMessage.Accepted);
+    assertTrue(v.handle(new ConsensusMessage.Prepare(2, "r", b)).answer() instanceof ConsensusMessage.Refused);
   }
 
   /**
@@ -55,8 +55,8 @@
    */
   @Test
   public void aReadDisturbsNobodyWhereAMajorityAgrees() {
-    List<Message> sent = new ArrayList<>();
-    List<Value> done = new ArrayList<>();
+    List<ConsensusMessage> sent = new ArrayList<>();
+    List<RegisterValue> done = new ArrayList<>();
     Proposer p =
         new Proposer(
             "p",
@@ -65,7 +65,7 @@
             new SplittableRandom(1),
             new Proposer.Outbox() {
               @Override
-              public void send(String voter, Message m) {
+              public void send(String voter, ConsensusMessage m) {
                 sent.add(m);
               }
 
@@ -75,22 +75,22 @@
               }
 
               @Override
-              public void done(Value v) {
+              public void done(RegisterValue v) {
                 done.add(v);
               }
             });
     Ballot b = new Ballot(3, "q");
     p.read(0, "r", 9);
-    p.receive(0, "v0", new Message.Looked(1, b, new Value(2, "x")));
-    p.receive(0, "v0", new Message.Looked(1, b, new Value(2, "x"))); // said twice, it counts once
+    p.receive(0, "v0", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x")));
+    p.receive(0, "v0", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x"))); // said twice, it counts once
     assertTrue(done.isEmpty());
-    p.receive(0, "v2", new Message.Looked(1, b, new Value(2, "x")));
+    p.receive(0, "v2", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x")));
     assertTrue(done.get(0).text().equals("x") && sent.size() == 3);
     p.read(0, "r", 9);
-    p.receive(0, "v0", new Message.Looked(2, b, new Value(2, "x")));
-    p.receive(0, "v1", new Message.Looked(2, new Ballot(2, "q"), new Value(1, "w")));
+    p.receive(0, "v0", new ConsensusMessage.ReadResult(2, b, new RegisterValue(2, "x")));
+    p.receive(0, "v1", new ConsensusMessage.ReadResult(2, new Ballot(2, "q"), new RegisterValue(1, "w")));
     assertEquals("two differ: the third may agree with one of them", 6, sent.size());
-    p.receive(0, "v2", new Message.Looked(2, new Ballot(1, "q"), Value.NONE));
-    assertTrue(done.size() == 1 && sent.get(8) instanceof Message.Prepare);
+    p.receive(0, "v2", new ConsensusMessage.ReadResult(2, new Ballot(1, "q"), RegisterValue.NONE));
+    assertTrue(done.size() == 1 && sent.get(8) instanceof ConsensusMessage.Prepare);
   }
 }
--- a/src/test/java/umberrun/agreement/RegisterSeedsTest.java
+++ b/src/test/java/umberrun/consensus/RegisterSeedsTest.java
@@ -1,4 +1,4 @@
-package umberrun.agreement;
+package umberrun.consensus;
 
 import static org.junit.Assert.assertNotNull;
 import static org.junit.Assert.assertNull;
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.Test;
-import umberrun.agreement.sim.RegisterTrial;
-import umberrun.agreement.sim.RegisterTrial.Maker;
+import umberrun.consensus.sim.RegisterSimulation;
+import umberrun.consensus.sim.RegisterSimulation.Factory;
 
 /**
  * Registers while voters are replaced, killed, lose their folders and are cut off, and variants
@@ -16,14 +16,14 @@
  */
 public class RegisterSeedsTest {
   private static final long SECOND = 1_000_000;
-  private static final Maker SOUND = new Maker() {};
+  private static final Factory SOUND = new Factory() {};
 
   private int done;
   private int replaced;
 
-  private String play(long seed, Maker maker) {
+  private String play(long seed, Factory maker) {
     SplittableRandom random = new SplittableRandom(seed);
-    RegisterTrial t = new RegisterTrial(5, 3, random.nextLong(), maker);
+    RegisterSimulation t = new RegisterSimulation(5, 3, random.nextLong(), maker);
     try {
       for (int i = 0; i < 14; i++) {
         draw(t, random);
@@ -40,12 +40,12 @@
       done += t.done();
       replaced += t.replaced();
       return t.done() > before ? null : "seed " + seed + ": nothing is done in fair times\n" + t;
-    } catch (RegisterTrial.Broken e) {
+    } catch (RegisterSimulation.InvariantViolation e) {
       return "seed " + seed + ": " + e.getMessage();
     }
   }
 
-  private static void draw(RegisterTrial t, SplittableRandom random) {
+  private static void draw(RegisterSimulation t, SplittableRandom random) {
     int a = random.nextInt(t.hostCount());
     int b = random.nextInt(t.hostCount());
     long later = t.net().now() + random.nextLong(3 * SECOND);
@@ -80,7 +80,7 @@
     }
   }
 
-  private String firstBroken(int seeds, Maker maker) {
+  private String firstBroken(int seeds, Factory maker) {
     for (long seed = 1; seed <= seeds; seed++) {
       String broken = play(seed, maker);
       if (broken != null && !broken.contains("nothing")) {
@@ -107,16 +107,16 @@
     assertNotNull(
         firstBroken(
             4_000,
-            new Maker() {
+            new Factory() {
               @Override
-              public Succession succession(
-                  Voters known, String comes, String leaves, long until, Succession.Outbox out) {
-                return new Succession(known, comes, leaves, until, out) {
+              public VoterReplacement succession(
+                  VoterSet known, String comes, String leaves, long until, VoterReplacement.Outbox out) {
+                return new VoterReplacement(known, comes, leaves, until, out) {
                   @Override
-                  protected Voters step() {
-                    Voters both = super.step();
-                    Voters after = both.withoutLeaving();
-                    return new Voters(both.epoch(), after.keys(), "", both.former());
+                  protected VoterSet step() {
+                    VoterSet both = super.step();
+                    VoterSet after = both.withoutLeaving();
+                    return new VoterSet(both.epoch(), after.keys(), "", both.former());
                   }
                 };
               }
@@ -129,11 +129,11 @@
     assertNotNull(
         firstBroken(
             4_000,
-            new Maker() {
+            new Factory() {
               @Override
-              public Succession succession(
-                  Voters known, String comes, String leaves, long until, Succession.Outbox out) {
-                return new Succession(known, comes, leaves, until, out) {
+              public VoterReplacement succession(
+                  VoterSet known, String comes, String leaves, long until, VoterReplacement.Outbox out) {
+                return new VoterReplacement(known, comes, leaves, until, out) {
                   @Override
                   protected boolean carriesOver() {
                     return false;
@@ -149,18 +149,18 @@
     assertNotNull(
         firstBroken(
             4_000,
-            new Maker() {
+            new Factory() {
               @Override
-              public Seat seat(Map<String, Voter.Slot> synced) {
-                return new Seat(synced, 16) {
+              public EpochVoter seat(Map<String, Voter.Slot> synced) {
+                return new EpochVoter(synced, 16) {
                   @Override
                   protected boolean isOld(long epoch) {
                     return false;
                   }
 
                   @Override
-                  public Voter.Step handle(long epoch, Message m) {
-                    return super.handle(m instanceof Message.Install ? epoch : taken().epoch(), m);
+                  public Voter.VoteResult handle(long epoch, ConsensusMessage m) {
+                    return super.handle(m instanceof ConsensusMessage.Install ? epoch : taken().epoch(), m);
                   }
                 };
               }
--- a/src/test/java/umberrun/agreement/disk/VoterFolderTest.java
+++ b/src/test/java/umberrun/consensus/disk/VoterStoreTest.java
@@ -1,4 +1,4 @@
-package umberrun.agreement.disk;
+package umberrun.consensus.disk;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertThrows;
@@ -14,34 +14,34 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import umberrun.agreement.Ballot;
-import umberrun.agreement.Message;
-import umberrun.agreement.Value;
-import umberrun.agreement.Voter;
-import umberrun.agreement.disk.VoterFolder.Unfit;
+import umberrun.consensus.Ballot;
+import umberrun.consensus.ConsensusMessage;
+import umberrun.consensus.RegisterValue;
+import umberrun.consensus.Voter;
+import umberrun.consensus.disk.VoterStore.UnusableStore;
 
 /** A voter's memory through damage: it has all that it answered for, or it does not vote. */
-public class VoterFolderTest {
+public class VoterStoreTest {
   @Rule public final TemporaryFolder temporary = new TemporaryFolder();
 
   private Path voted(String name, int rounds) throws Exception {
     Path folder = temporary.getRoot().toPath().resolve(name);
-    VoterFolder.create(folder, name);
-    try (VoterFolder f = VoterFolder.open(folder, name)) {
+    VoterStore.create(folder, name);
+    try (VoterStore f = VoterStore.open(folder, name)) {
       Voter v = new Voter(f.slots(), 16);
       for (int i = 1; i <= rounds; i++) {
         Ballot b = new Ballot(i, "p 1");
         f.write(
             List.of(
-                v.handle(new Message.Prepare(i, "r", b)),
-                v.handle(new Message.Accept(i, "r", b, new Value(i, "x " + i)))));
+                v.handle(new ConsensusMessage.Prepare(i, "r", b)),
+                v.handle(new ConsensusMessage.Accept(i, "r", b, new RegisterValue(i, "x " + i)))));
       }
     }
     return folder;
   }
 
   private static Map<String, Voter.Slot> slots(Path folder, String owner) throws Exception {
-    try (VoterFolder f = VoterFolder.open(folder, owner)) {
+    try (VoterStore f = VoterStore.open(folder, owner)) {
       return f.slots();
     }
   }
@@ -54,7 +54,7 @@
   public void cutShortAnywhereItVotesOnAllOrNothing() throws Exception {
     Path folder = voted("v0", 5);
     Map<String, Voter.Slot> whole = slots(folder, "v0");
-    assertEquals(new Value(5, "x 5"), whole.get("r").value());
+    assertEquals(new RegisterValue(5, "x 5"), whole.get("r").value());
     for (String name : List.of("registers.mv", "seal")) {
       Path file = folder.resolve(name);
       byte[] bytes = Files.readAllBytes(file);
@@ -65,7 +65,7 @@
         Files.write(file, Arrays.copyOf(bytes, length));
         try {
           assertEquals(name + " cut at " + length, whole, slots(folder, "v0"));
-        } catch (Unfit e) {
+        } catch (UnusableStore e) {
           unfit++;
         }
       }
@@ -89,14 +89,14 @@
   public void anOlderCopyIsNotVotedOn() throws Exception {
     Path folder = voted("v0", 2);
     byte[] old = Files.readAllBytes(folder.resolve("registers.mv"));
-    try (VoterFolder f = VoterFolder.open(folder, "v0")) {
+    try (VoterStore f = VoterStore.open(folder, "v0")) {
       f.write(
           List.of(
-              new Voter(f.slots(), 16).handle(new Message.Prepare(9, "r", new Ballot(9, "q")))));
+              new Voter(f.slots(), 16).handle(new ConsensusMessage.Prepare(9, "r", new Ballot(9, "q")))));
     }
     Files.write(folder.resolve("registers.mv"), old);
     assertTrue(
-        assertThrows(Unfit.class, () -> VoterFolder.open(folder, "v0"))
+        assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v0"))
             .getMessage()
             .contains("lost"));
   }
@@ -105,26 +105,26 @@
   public void anothersALostAndAHeldFolderAreNotVotedOn() throws Exception {
     Path folder = voted("v0", 1);
     assertTrue(
-        assertThrows(Unfit.class, () -> VoterFolder.open(folder, "v1"))
+        assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v1"))
             .getMessage()
             .contains("v0"));
-    assertThrows(Unfit.class, () -> VoterFolder.create(folder, "v0"));
-    try (VoterFolder f = VoterFolder.open(folder, "v0")) {
-      assertThrows(Unfit.class, () -> VoterFolder.open(folder, "v0"));
+    assertThrows(UnusableStore.class, () -> VoterStore.create(folder, "v0"));
+    try (VoterStore f = VoterStore.open(folder, "v0")) {
+      assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v0"));
     }
     Files.delete(folder.resolve("registers.mv"));
-    assertThrows(Unfit.class, () -> VoterFolder.open(folder, "v0"));
+    assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v0"));
   }
 
   /** A write that fails ends the voting of this process: what is on disk is then not known. */
   @Test
   public void aFailedWriteIsForGood() throws Exception {
     Path folder = voted("v0", 1);
-    VoterFolder f = VoterFolder.open(folder, "v0");
+    VoterStore f = VoterStore.open(folder, "v0");
     Map<String, Voter.Slot> before = new TreeMap<>(f.slots());
     f.close(); // as if the disk had gone
-    List<Voter.Step> steps =
-        List.of(new Voter(before, 16).handle(new Message.Prepare(7, "r", new Ballot(7, "q"))));
+    List<Voter.VoteResult> steps =
+        List.of(new Voter(before, 16).handle(new ConsensusMessage.Prepare(7, "r", new Ballot(7, "q"))));
     assertThrows(IOException.class, () -> f.write(steps));
     assertThrows(IOException.class, () -> f.write(steps));
     assertEquals(before, slots(folder, "v0"));
--- a/src/test/java/umberrun/agreement/net/WireTest.java
+++ b/src/test/java/umberrun/consensus/net/ConsensusCodecTest.java
@@ -1,4 +1,4 @@
-package umberrun.agreement.net;
+package umberrun.consensus.net;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -7,26 +7,26 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.Test;
-import umberrun.agreement.Ballot;
-import umberrun.agreement.Message;
-import umberrun.agreement.Message.*;
-import umberrun.agreement.Value;
-import umberrun.agreement.Voters;
-import umberrun.agreement.net.Wire.Envelope;
+import umberrun.consensus.Ballot;
+import umberrun.consensus.ConsensusMessage;
+import umberrun.consensus.ConsensusMessage.*;
+import umberrun.consensus.RegisterValue;
+import umberrun.consensus.VoterSet;
+import umberrun.consensus.net.ConsensusCodec.Envelope;
 
 /**
  * The bytes of the agreement: each message as it was, whatever is torn or spoilt refused, and
  * nothing else ever thrown.
  */
-public class WireTest {
+public class ConsensusCodecTest {
   private static final Ballot BALLOT = new Ballot(7, "fe-1/3");
-  private static final Value VALUE = new Value(3, "5 2 3000000 fe-1");
-  private static final Voters SET =
-      Voters.read("4 fe-1#a,fe-2#b,fe-3#c,fe-4#d fe-2#b fe-1#a,fe-2#b,fe-3#c");
-  private static final List<Message> ALL =
+  private static final RegisterValue VALUE = new RegisterValue(3, "5 2 3000000 fe-1");
+  private static final VoterSet SET =
+      VoterSet.read("4 fe-1#a,fe-2#b,fe-3#c,fe-4#d fe-2#b fe-1#a,fe-2#b,fe-3#c");
+  private static final List<ConsensusMessage> ALL =
       List.of(
-          new Look(1, "duty/beacon"),
-          new Looked(1, BALLOT, VALUE),
+          new Read(1, "duty/beacon"),
+          new ReadResult(1, BALLOT, VALUE),
           new Prepare(2, "works", BALLOT),
           new Promised(2, BALLOT, VALUE),
           new Accept(3, "works", BALLOT, VALUE),
@@ -35,13 +35,13 @@
           new Install(5, SET),
           new Installed(5),
           new Outdated(6, SET),
-          new Behind(7),
-          new ListNames(8),
-          new Names(8, List.of("works", "duty/beacon")),
-          new AskSeat(9, true, SET, List.of("fe-1", "fe-2", "fe-3")),
-          new SeatIs(9, "fe-1#a", SET, "why not"));
+          new UnknownEpoch(7),
+          new ListRegisters(8),
+          new RegisterNames(8, List.of("works", "duty/beacon")),
+          new VoterQuery(9, true, SET, List.of("fe-1", "fe-2", "fe-3")),
+          new VoterDescription(9, "fe-1#a", SET, "why not"));
 
-  private static Envelope envelope(Message m) {
+  private static Envelope envelope(ConsensusMessage m) {
     return new Envelope(true, 4, "fe-1#a", 99, 2, m);
   }
 
@@ -49,10 +49,10 @@
   public void eachMessageComesAsItWas() {
     assertEquals(
         "a kind of message is not tried",
-        Message.class.getPermittedSubclasses().length,
+        ConsensusMessage.class.getPermittedSubclasses().length,
         ALL.size());
-    for (Message m : ALL) {
-      assertEquals(envelope(m), Wire.read(Wire.write(envelope(m))));
+    for (ConsensusMessage m : ALL) {
+      assertEquals(envelope(m), ConsensusCodec.read(ConsensusCodec.write(envelope(m))));
     }
   }
 
@@ -64,13 +64,13 @@
   public void whatIsTornOrSpoiltIsRefused() {
     Random random = new Random(1);
     int refused = 0;
-    for (Message m : ALL) {
-      byte[] whole = Wire.write(envelope(m));
+    for (ConsensusMessage m : ALL) {
+      byte[] whole = ConsensusCodec.write(envelope(m));
       for (int n = 0; n < whole.length; n++) {
         byte[] torn = Arrays.copyOf(whole, n);
         assertTrue(
             m + " is another one of " + n + " bytes",
-            isRefused(torn) || Wire.read(torn).equals(envelope(m))); // but for its empty end
+            isRefused(torn) || ConsensusCodec.read(torn).equals(envelope(m))); // but for its empty end
       }
       for (int i = 0; i < 3_000; i++) {
         byte[] spoilt = whole.clone();
@@ -85,9 +85,9 @@
 
   private static boolean isRefused(byte[] bytes) {
     try {
-      Message m = Wire.read(bytes).message();
+      ConsensusMessage m = ConsensusCodec.read(bytes).message();
       if (m instanceof Outdated o) { // what a front end does with it next must not fail either
-        o.voters().keys().forEach(Voters::nameOf);
+        o.voters().keys().forEach(VoterSet::nameOf);
       }
       return false;
     } catch (IllegalArgumentException e) {
--- a/src/test/java/umberrun/core/DutyTest.java
+++ b/src/test/java/umberrun/core/LifecycleTest.java
@@ -6,12 +6,12 @@
 
 import org.junit.Before;
 import org.junit.Test;
-import umberrun.core.Duty.State;
+import umberrun.core.Lifecycle.State;
 
 /** What a process owes its clients in each state, by the times of its drains and its end. */
-public class DutyTest {
+public class LifecycleTest {
   private static final long SECOND = 1_000_000;
-  private final Duty duty = new Duty(5 * SECOND);
+  private final Lifecycle duty = new Lifecycle(5 * SECOND);
 
   @Before
   public void serves() {
@@ -58,7 +58,7 @@
     duty.leave(12 * SECOND, true);
     assertEquals(State.LEAVING, duty.state());
     assertFalse(duty.drain(12 * SECOND) || duty.activate(12 * SECOND) || duty.isFit());
-    Duty early = new Duty(SECOND);
+    Lifecycle early = new Lifecycle(SECOND);
     assertFalse(early.activate(0) || early.drain(0));
     early.leave(0, false);
     early.serve(1);
@@ -95,7 +95,7 @@
     duty.leave(10 * SECOND, true);
     assertFalse(duty.cuts(13 * SECOND + 400_000, 0));
     assertTrue(duty.cuts(13 * SECOND + 500_000, 0));
-    Duty brief = new Duty(SECOND);
+    Lifecycle brief = new Lifecycle(SECOND);
     brief.leave(10 * SECOND, false);
     assertFalse(brief.cuts(11 * SECOND + 400_000, 0));
     assertTrue(brief.cuts(11 * SECOND + 500_000, 0));
--- a/src/test/java/umberrun/core/BansTest.java
+++ b/src/test/java/umberrun/core/WorkerSuspensionsTest.java
@@ -8,25 +8,25 @@
 import java.util.Set;
 import org.junit.Test;
 import saddlestall.Dispatcher.State;
-import umberrun.core.Bans.Standing;
+import umberrun.core.WorkerSuspensions.EffectiveState;
 
 /** What operators and plans have said of workers, over what the list says. */
-public class BansTest {
-  private final Bans bans = new Bans(1_000_000);
+public class WorkerSuspensionsTest {
+  private final WorkerSuspensions bans = new WorkerSuspensions(1_000_000);
 
   /** From the ban on, without a drain's grace, whatever the list says. */
   @Test
   public void aBanLiesOverTheList() {
     bans.suspend("s", 50);
-    assertEquals(new Standing(State.DRAINING, 50, 7), bans.over("s", State.READY, 0, 7));
-    assertEquals(new Standing(State.DRAINING, 50, 7), bans.over("s", State.DRAINING, 40, 7));
-    assertEquals(new Standing(State.GONE, 50, 7), bans.over("s", State.GONE, 60, 7));
-    assertEquals(new Standing(State.READY, Bans.NEVER, 0), bans.over("other", State.READY, 0, 0));
+    assertEquals(new EffectiveState(State.DRAINING, 50, 7), bans.over("s", State.READY, 0, 7));
+    assertEquals(new EffectiveState(State.DRAINING, 50, 7), bans.over("s", State.DRAINING, 40, 7));
+    assertEquals(new EffectiveState(State.GONE, 50, 7), bans.over("s", State.GONE, 60, 7));
+    assertEquals(new EffectiveState(State.READY, WorkerSuspensions.NEVER, 0), bans.over("other", State.READY, 0, 0));
   }
 
   @Test
   public void aDrainOfTheListKeepsItsGrace() {
-    assertEquals(new Standing(State.DRAINING, 800_040, 0), bans.over("s", State.DRAINING, 40, 0));
+    assertEquals(new EffectiveState(State.DRAINING, 800_040, 0), bans.over("s", State.DRAINING, 40, 0));
   }
 
   /**
@@ -40,7 +40,7 @@
     assertEquals("the first time counts", 50, bans.over("s", State.READY, 0, 0).stopAt());
     bans.resume("s", 90);
     bans.resume("s", 95);
-    assertEquals(new Standing(State.READY, Bans.NEVER, 90), bans.over("s", State.READY, 0, 7));
+    assertEquals(new EffectiveState(State.READY, WorkerSuspensions.NEVER, 90), bans.over("s", State.READY, 0, 7));
     assertEquals(100, bans.over("s", State.READY, 0, 100).since());
     assertEquals(State.DRAINING, bans.over("s", State.DRAINING, 40, 7).state());
   }
--- a/src/test/java/umberrun/discovery/WorkerLeasesTest.java
+++ b/src/test/java/umberrun/discovery/WorkerLeasesTest.java
@@ -30,7 +30,7 @@
    */
   private static final class World {
     final Random random;
-    final Contact contact = new Contact(GRACE - 200_000);
+    final DiscoveryContact contact = new DiscoveryContact(GRACE - 200_000);
     final WorkerLeases leases = new WorkerLeases(contact, 1);
     final Map<Integer, Long> drainsAt = new HashMap<>();
     final List<Long> moves = new ArrayList<>();
@@ -146,14 +146,14 @@
     }
   }
 
-  private static WorkerLeases lost(Contact contact) {
+  private static WorkerLeases lost(DiscoveryContact contact) {
     contact.follow(0, 0);
     return new WorkerLeases(contact, 1);
   }
 
   @Test
   public void workTakenOnRenewsOneLeaseFromTheMomentItWasSent() {
-    WorkerLeases leases = lost(new Contact(GRACE));
+    WorkerLeases leases = lost(new DiscoveryContact(GRACE));
     leases.tookWork(1, 3 * SECOND);
     leases.review(8 * SECOND, ALL);
     assertTrue(leases.isHeldBack(0));
@@ -165,7 +165,7 @@
 
   @Test
   public void contactReleasesAllAtOnce() {
-    Contact contact = new Contact(GRACE);
+    DiscoveryContact contact = new DiscoveryContact(GRACE);
     WorkerLeases leases = lost(contact);
     assertEquals(ALL, leases.review(20 * SECOND, ALL).heldBack());
     contact.heard(20 * SECOND);
@@ -174,7 +174,7 @@
 
   @Test
   public void whileDiscoveryIsWellNothingIsAskedOfAnybody() {
-    Contact contact = new Contact(GRACE);
+    DiscoveryContact contact = new DiscoveryContact(GRACE);
     WorkerLeases leases = lost(contact);
     for (long now = 0; now < 60 * SECOND; now += SECOND / 4) {
       contact.heard(now - 2 * SECOND);
@@ -189,7 +189,7 @@
    */
   @Test
   public void aMoveShortensLeasesUntilDiscoveryIsHeard() {
-    Contact contact = new Contact(GRACE);
+    DiscoveryContact contact = new DiscoveryContact(GRACE);
     WorkerLeases leases = lost(contact);
     contact.heard(9 * SECOND);
     contact.moved(10 * SECOND);
@@ -206,7 +206,7 @@
 
   @Test
   public void anAnswerThatBreaksOffShortensThem() {
-    Contact contact = new Contact(GRACE);
+    DiscoveryContact contact = new DiscoveryContact(GRACE);
     WorkerLeases leases = lost(contact);
     contact.brokeOff(SECOND);
     assertEquals(4 * SECOND, leases.until(0));
@@ -220,7 +220,7 @@
    */
   @Test
   public void anAddressThatRefusedIsANewStart() {
-    Contact contact = new Contact(GRACE);
+    DiscoveryContact contact = new DiscoveryContact(GRACE);
     WorkerLeases leases = lost(contact);
     leases.refused(2, 4 * SECOND);
     leases.review(10 * SECOND, ALL);
@@ -238,10 +238,10 @@
    */
   @Test
   public void aSuccessorGoesOnWithTheLeasesOfTheElder() {
-    WorkerLeases elder = lost(new Contact(GRACE));
+    WorkerLeases elder = lost(new DiscoveryContact(GRACE));
     elder.tookWork(1, 5 * SECOND);
     elder.review(10 * SECOND, ALL);
-    Contact contact = new Contact(GRACE);
+    DiscoveryContact contact = new DiscoveryContact(GRACE);
     contact.follow(10 * SECOND, 10 * SECOND);
     WorkerLeases leases = new WorkerLeases(contact, 2);
     leases.takeOver(elder.left(10 * SECOND, ALL), 10 * SECOND, 10 * SECOND);
--- a/src/test/java/umberrun/fleet/FleetSeedsTest.java
+++ b/src/test/java/umberrun/fleet/FleetSeedsTest.java
@@ -9,15 +9,15 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 import org.junit.Test;
-import umberrun.fleet.sim.FleetTrial;
-import umberrun.fleet.sim.FleetTrial.Maker;
+import umberrun.fleet.sim.FleetSimulation;
+import umberrun.fleet.sim.FleetSimulation.Factory;
 
 /**
  * The view under faults that a seed draws, on the virtual network, and variants broken on purpose
  * that must be caught.
  */
 public class FleetSeedsTest {
-  private static final long SECOND = Settings.SECOND;
+  private static final long SECOND = MembershipSettings.SECOND;
 
   /**
    * Within this all that live tell the same after the last fault; docs/fleet-view.md has the sum.
@@ -36,9 +36,9 @@
   private static final double ROUNDING = 1e-9;
 
   /** Half a minute to three of faults of all kinds, then the bound. What broke, or null. */
-  static String play(int size, long seed, Maker maker) {
+  static String play(int size, long seed, Factory maker) {
     SplittableRandom random = new SplittableRandom(seed);
-    FleetTrial t = new FleetTrial(size, settings(size), random.nextLong(), maker);
+    FleetSimulation t = new FleetSimulation(size, settings(size), random.nextLong(), maker);
     try {
       if (random.nextBoolean()) {
         t.net().run(FORGET + 10 * SECOND);
@@ -63,14 +63,14 @@
         }
       }
       return t.settle(BOUND) >= 0 ? null : "seed " + seed + " of " + size + ": " + t.unsettled();
-    } catch (FleetTrial.Broken e) {
+    } catch (FleetSimulation.InvariantViolation e) {
       return "seed " + seed + " of " + size + ": " + e.getMessage();
     }
   }
 
-  private static Settings settings(int size) {
-    Settings s = FleetTrial.settings(size);
-    return new Settings(
+  private static MembershipSettings settings(int size) {
+    MembershipSettings s = FleetSimulation.settings(size);
+    return new MembershipSettings(
         s.fleet(),
         s.seeds(),
         s.interval(),
@@ -85,7 +85,7 @@
         s.doubts());
   }
 
-  private static void draw(FleetTrial t, int size, RandomGenerator random) {
+  private static void draw(FleetSimulation t, int size, RandomGenerator random) {
     int one = random.nextInt(size);
     int other = random.nextInt(size);
     switch (random.nextInt(9)) {
@@ -146,7 +146,7 @@
   public void aSeedPlaysTheSameAgain() {
     long[] packets = new long[2];
     for (int i = 0; i < 2; i++) {
-      FleetTrial t = new FleetTrial(20, FleetTrial.settings(20), 7, Membership::new);
+      FleetSimulation t = new FleetSimulation(20, FleetSimulation.settings(20), 7, Membership::new);
       t.net().links(0.2, 0.1, 200, 50_000);
       t.net().run(20 * SECOND);
       t.kill(3);
@@ -156,7 +156,7 @@
     assertEquals(packets[0], packets[1]);
   }
 
-  private static String firstBroken(int size, int seeds, Maker maker) {
+  private static String firstBroken(int size, int seeds, Factory maker) {
     for (long seed = 1; seed <= seeds; seed++) {
       String broken = play(size, seed, maker);
       if (broken != null) {
@@ -220,8 +220,8 @@
 
   // ---------------------------------------------------------------- hard cases, one by one
 
-  private static FleetTrial fleet(int size) {
-    FleetTrial t = new FleetTrial(size, FleetTrial.settings(size), 42, Membership::new);
+  private static FleetSimulation fleet(int size) {
+    FleetSimulation t = new FleetSimulation(size, FleetSimulation.settings(size), 42, Membership::new);
     assertTrue(t.unsettled(), t.settle(BOUND) >= 0);
     return t;
   }
@@ -233,11 +233,11 @@
   @Test
   public void aSlowMemberDoesNotAccuseTheHealthy() {
     for (boolean doubts : new boolean[] {true, false}) {
-      Settings s = FleetTrial.settings(10);
-      FleetTrial t =
-          new FleetTrial(
+      MembershipSettings s = FleetSimulation.settings(10);
+      FleetSimulation t =
+          new FleetSimulation(
               10,
-              new Settings(
+              new MembershipSettings(
                   s.fleet(),
                   s.seeds(),
                   s.interval(),
@@ -264,7 +264,7 @@
 
   @Test
   public void aOneWayCutIsNoDeath() {
-    FleetTrial t = fleet(10);
+    FleetSimulation t = fleet(10);
     t.net().cut(1, 2);
     t.net().run(t.net().now() + 60 * SECOND);
     assertEquals(9, t.process(2).living());
@@ -274,7 +274,7 @@
   /** It comes back under its former name with nothing said of its former life. */
   @Test
   public void aRestartIsNoDeath() {
-    FleetTrial t = fleet(10);
+    FleetSimulation t = fleet(10);
     Claim before = t.process(3).self();
     t.start(3);
     assertTrue(t.unsettled(), t.settle(5 * SECOND) >= 0);
@@ -282,14 +282,14 @@
     t.process(5)
         .receive(
             t.clock(5),
-            new Message(Message.Kind.PING, 1, "n5", "", before, List.of())); // a late word
+            new GossipMessage(GossipMessage.Kind.PING, 1, "n5", "", before, List.of())); // a late word
     assertNull(t.unsettled());
   }
 
   /** A list of which nobody answers for a minute, and then one does. */
   @Test
   public void joiningNeverGivesUp() {
-    FleetTrial t = new FleetTrial(6, FleetTrial.settings(6), 42, Membership::new);
+    FleetSimulation t = new FleetSimulation(6, FleetSimulation.settings(6), 42, Membership::new);
     for (int i = 0; i < 3; i++) {
       t.kill(i);
     }
@@ -301,7 +301,7 @@
 
   @Test
   public void twoStrangersUnderOneNameSettleOnOne() {
-    FleetTrial t = fleet(6);
+    FleetSimulation t = fleet(6);
     t.start(5, "n4");
     t.net().run(t.net().now() + BOUND);
     assertTrue("just one tells of itself", t.process(4).hasYielded() != t.process(5).hasYielded());
@@ -319,7 +319,7 @@
 
   @Test
   public void anotherNameAtAnAddressIsAnotherMember() {
-    FleetTrial t = fleet(6);
+    FleetSimulation t = fleet(6);
     t.start(5, "other");
     long took = t.settle(BOUND);
     assertTrue(t.unsettled(), took >= 0 && took < 10 * SECOND);
@@ -335,8 +335,8 @@
   @Test
   public void newcomersDoNotOverfillTheWhole() {
     for (int cut = 0; cut < 2; cut++) {
-      Settings s = settings(6);
-      FleetTrial t = new FleetTrial(10, s, 42 + cut, Membership::new);
+      MembershipSettings s = settings(6);
+      FleetSimulation t = new FleetSimulation(10, s, 42 + cut, Membership::new);
       for (int i = 6; i < 10; i++) {
         t.kill(i);
       }
@@ -362,7 +362,7 @@
   /** Shares grow once those gone are surely gone, and not before. */
   @Test
   public void theSharesOfTheSurelyGoneAreTakenOver() {
-    FleetTrial t = new FleetTrial(10, settings(10), 42, Membership::new);
+    FleetSimulation t = new FleetSimulation(10, settings(10), 42, Membership::new);
     t.net().run(2 * FORGET);
     for (int i = 5; i < 10; i++) {
       t.kill(i);
--- a/src/test/java/umberrun/handover/LedgerTest.java
+++ b/src/test/java/umberrun/handover/HandoverStoreTest.java
@@ -19,14 +19,14 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import umberrun.handover.Ledger.Other;
-import umberrun.handover.Ledger.State;
+import umberrun.handover.HandoverStore.Other;
+import umberrun.handover.HandoverStore.State;
 
 /**
  * What the files that processes of one front end share keep through crashes, torn writes and
  * processes that died.
  */
-public class LedgerTest {
+public class HandoverStoreTest {
   @Rule public final TemporaryFolder folder = new TemporaryFolder();
   private final List<String> said = new ArrayList<>();
   private Path shared;
@@ -36,8 +36,8 @@
     shared = folder.getRoot().toPath().resolve("front");
   }
 
-  private Ledger ledger(String id) throws IOException {
-    return new Ledger(shared, id, said::add);
+  private HandoverStore ledger(String id) throws IOException {
+    return new HandoverStore(shared, id, said::add);
   }
 
   /**
@@ -66,7 +66,7 @@
    */
   @Test
   public void oneThatBeginsIsNotTakenForDead() throws Exception {
-    Ledger elder = ledger("elder");
+    HandoverStore elder = ledger("elder");
     AtomicBoolean over = new AtomicBoolean();
     Thread looks =
         new Thread(
@@ -78,7 +78,7 @@
     looks.start();
     try {
       for (int i = 0; i < 300; i++) {
-        Ledger begins = ledger("b" + i);
+        HandoverStore begins = ledger("b" + i);
         begins.present(true, 0);
         assertTrue(
             "process " + i + " is missed", Files.exists(shared.resolve("process-b" + i + ".lock")));
@@ -92,8 +92,8 @@
 
   @Test
   public void whatOneWritesTheOtherReads() throws Exception {
-    Ledger a = ledger("a");
-    Ledger b = ledger("b");
+    HandoverStore a = ledger("a");
+    HandoverStore b = ledger("b");
     assertEquals(State.EMPTY, b.read());
     assertFalse(b.isChanged());
     a.update(s -> Handover.changed(s, "s-1", true, 50));
@@ -110,7 +110,7 @@
     CyclicBarrier round = new CyclicBarrier(2);
     List<Thread> threads = new ArrayList<>();
     for (String id : List.of("a", "b")) {
-      Ledger l = ledger(id);
+      HandoverStore l = ledger(id);
       threads.add(
           new Thread(
               () -> {
@@ -137,7 +137,7 @@
   /** A torn, foreign, older or huge file counts as none, and is said. */
   @Test
   public void aFileThatCantBeUsedCountsAsEmpty() throws Exception {
-    Ledger l = ledger("a");
+    HandoverStore l = ledger("a");
     for (String text :
         List.of(
             "{\"v\":1,\"seq\":",
@@ -157,8 +157,8 @@
   /** Whoever ends, or was killed, no longer counts, and what it left is removed. */
   @Test
   public void onlyProcessesThatLiveCount() throws Exception {
-    Ledger a = ledger("a");
-    Ledger b = ledger("b");
+    HandoverStore a = ledger("a");
+    HandoverStore b = ledger("b");
     assertEquals(List.of(new Other(false, 0)), a.others());
     b.present(true, 3);
     assertEquals(List.of(new Other(true, 3)), a.others());
--- a/src/test/java/umberrun/learning/KnowledgeTest.java
+++ b/src/test/java/umberrun/learning/FactStoreTest.java
@@ -17,11 +17,11 @@
 import umberrun.learning.Fact.Kind;
 import umberrun.learning.Fact.Subject;
 import umberrun.learning.Fact.Value;
-import umberrun.learning.Page.Unusable;
-import umberrun.learning.Screen.Standing;
+import umberrun.learning.FactPage.UnusablePage;
+import umberrun.learning.FactFilter.WorkerStatus;
 
 /** How facts merge and age, and which of them may not be believed. */
-public class KnowledgeTest {
+public class FactStoreTest {
   private static final long SECOND = 1_000_000;
 
   private static Fact fact(Kind kind, String worker, long seenAt, String origin) {
@@ -46,7 +46,7 @@
   }
 
   private static Set<Fact> merged(List<Fact> facts) {
-    Knowledge k = new Knowledge(1_000);
+    FactStore k = new FactStore(1_000);
     facts.forEach(k::merge);
     return new HashSet<>(k.all());
   }
@@ -73,7 +73,7 @@
 
   @Test
   public void aFloodOfFactsIsBoundedAndTheOldestGo() {
-    Knowledge k = new Knowledge(100);
+    FactStore k = new FactStore(100);
     for (int i = 0; i < 10_000; i++) {
       k.merge(fact(Kind.COPY, "s" + i, i, "o"));
     }
@@ -91,35 +91,35 @@
    */
   @Test
   public void theOwnListAndBansWin() {
-    Screen screen = new Screen(17 * SECOND, 30 * SECOND);
+    FactFilter screen = new FactFilter(17 * SECOND, 30 * SECOND);
     long now = 100 * SECOND;
     Fact copy = fact(Kind.COPY, "s", now - SECOND, "o");
     Fact worker = fact(Kind.WORKER, "s", now - SECOND, "o");
-    assertTrue(screen.admits(copy, new Standing(State.READY, 0), now));
-    assertFalse("drained", screen.admits(copy, new Standing(State.DRAINING, 0), now));
-    assertFalse("gone", screen.admits(copy, new Standing(State.GONE, 0), now));
+    assertTrue(screen.admits(copy, new WorkerStatus(State.READY, 0), now));
+    assertFalse("drained", screen.admits(copy, new WorkerStatus(State.DRAINING, 0), now));
+    assertFalse("gone", screen.admits(copy, new WorkerStatus(State.GONE, 0), now));
     assertFalse("never listed", screen.admits(copy, null, now));
     assertFalse(
         "from before its start",
-        screen.admits(copy, new Standing(State.READY, now - SECOND / 2), now));
+        screen.admits(copy, new WorkerStatus(State.READY, now - SECOND / 2), now));
     assertTrue(
-        "from after it", screen.admits(copy, new Standing(State.READY, now - 2 * SECOND), now));
+        "from after it", screen.admits(copy, new WorkerStatus(State.READY, now - 2 * SECOND), now));
     assertFalse(
         "cold by the list",
-        screen.admits(worker, new Standing(State.READY, now - 2 * SECOND), now));
-    assertTrue(screen.admits(worker, new Standing(State.READY, 0), now));
+        screen.admits(worker, new WorkerStatus(State.READY, now - 2 * SECOND), now));
+    assertTrue(screen.admits(worker, new WorkerStatus(State.READY, 0), now));
     assertFalse(
         "too old",
         screen.admits(
-            fact(Kind.COPY, "s", now - 31 * SECOND, "o"), new Standing(State.READY, 0), now));
+            fact(Kind.COPY, "s", now - 31 * SECOND, "o"), new WorkerStatus(State.READY, 0), now));
   }
 
   /** From a far-off prior the half-life that facts really have is found. */
   @Test
   public void halfLivesAreMeasured() {
     for (long life : new long[] {2 * SECOND, 20 * SECOND}) {
-      Calibration c =
-          new Calibration(
+      FactHalfLife c =
+          new FactHalfLife(
               Map.of(Kind.COPY, 8 * SECOND, Kind.WORKER, SECOND, Kind.FUNCTION, SECOND));
       Random r = new Random(life);
       for (int i = 0; i < 2_000; i++) {
@@ -139,7 +139,7 @@
     long here = 17 * SECOND;
     List<Fact> facts =
         List.of(fact(Kind.COPY, "s", there - 3 * SECOND, "a"), fact(Kind.FUNCTION, "", there, "b"));
-    Page page = Page.read(Page.write("e", 5 * SECOND, facts, 0, 10_000, there), here, SECOND / 2);
+    FactPage page = FactPage.read(FactPage.write("e", 5 * SECOND, facts, 0, 10_000, there), here, SECOND / 2);
     assertEquals(
         List.of(here - 3 * SECOND - SECOND / 2, here - SECOND / 2),
         page.facts().stream().map(Fact::seenAt).toList());
@@ -163,9 +163,9 @@
     long from = 0;
     int pages = 0;
     while (from >= 0) {
-      String text = Page.write("e", 0, facts, (int) from, 1_000, 200);
+      String text = FactPage.write("e", 0, facts, (int) from, 1_000, 200);
       assertTrue(text.length() < 1_200);
-      Page page = Page.read(text, 200, 0);
+      FactPage page = FactPage.read(text, 200, 0);
       read.addAll(page.facts());
       from = page.next();
       pages++;
@@ -181,8 +181,8 @@
   @Test
   public void whatPeersSayIsCheckedBeforeUse() throws Exception {
     String item = "[0,\"s\",\"7\",5,\"o\",1,2,3,4]";
-    Page page =
-        Page.read(
+    FactPage page =
+        FactPage.read(
             "{\"v\":1,\"epoch\":\"e\",\"uptime_ms\":1,\"next\":-1,\"new\":[1],\"facts\":["
                 + item
                 + ",[9,\"s\",\"7\",5,\"o\",1,2,3,4],[0,\"s\",\"7\",-5,\"o\",1,2,3,4],[1],\"x\"]}",
@@ -198,9 +198,9 @@
             "{\"v\":1,\"epoch\":\"e\",\"facts\":[" + item,
             "{\"v\":1,\"epoch\":\"e\",\"uptime_ms\":1,\"next\":-1,\"facts\":[[0,\"s\",\"zz\",5,\"o\",1,2,3,4]]}")) {
       try {
-        Page.read(bad, 0, 0);
+        FactPage.read(bad, 0, 0);
         fail(bad);
-      } catch (Unusable expected) {
+      } catch (UnusablePage expected) {
         // it says why
       }
     }
--- a/src/test/java/umberrun/learning/OneProberTest.java
+++ b/src/test/java/umberrun/learning/OneProberTest.java
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.junit.Test;
-import umberrun.lease.HallWatch;
+import umberrun.lease.HallHealthMonitor;
 
 /**
  * One prober for all on the emulator: a worker falls silent, and is back; what that costs with a
  * prober and without.
  */
 public class OneProberTest {
-  private static final long SECOND = Fleet.SECOND;
+  private static final long SECOND = SimulatedFleet.SECOND;
   private static final long EVERY = SECOND / 2;
   private static final long HALF_LIFE = 15 * SECOND;
 
@@ -33,7 +33,7 @@
 
   private int probes;
 
-  private static void tellAll(Fleet f, HallWatch watch) {
+  private static void tellAll(SimulatedFleet f, HallHealthMonitor watch) {
     f.after(
         2 * SECOND,
         () -> {
@@ -42,7 +42,7 @@
         });
   }
 
-  private void probe(Fleet f, HallWatch watch, Collection<String> names) {
+  private void probe(SimulatedFleet f, HallHealthMonitor watch, Collection<String> names) {
     f.after(
         EVERY / 5,
         () -> {
@@ -59,8 +59,8 @@
         });
   }
 
-  private static void tell(Fleet f, List<HallWatch.Reading> readings) {
-    for (HallWatch.Reading r : readings) {
+  private static void tell(SimulatedFleet f, List<HallHealthMonitor.HealthReading> readings) {
+    for (HallHealthMonitor.HealthReading r : readings) {
       f.hear(
           Integer.parseInt(r.worker()),
           r.pace(),
@@ -72,11 +72,11 @@
 
   private Figures play(long seed, int instances, int workers, boolean prober, boolean slow) {
     probes = 0;
-    Fleet f = new Fleet(seed, instances, workers, 5.0 * workers);
+    SimulatedFleet f = new SimulatedFleet(seed, instances, workers, 5.0 * workers);
     if (prober) {
       for (int z = 0; z < 3; z++) {
         int zone = z;
-        HallWatch watch = new HallWatch(EVERY);
+        HallHealthMonitor watch = new HallHealthMonitor(EVERY);
         tellAll(f, watch);
         probe(
             f,
--- a/src/test/java/umberrun/learning/RestartTest.java
+++ b/src/test/java/umberrun/learning/RestartTest.java
@@ -22,19 +22,19 @@
   private record Met(double loads, double errors) {}
 
   private static Met play(long seed, boolean learns, long age, int restarts) {
-    Fleet fleet = new Fleet(seed, 4, 12);
-    Calibration c =
-        new Calibration(
+    SimulatedFleet fleet = new SimulatedFleet(seed, 4, 12);
+    FactHalfLife c =
+        new FactHalfLife(
             Map.of(
                 Kind.COPY,
-                9 * Fleet.SECOND,
+                9 * SimulatedFleet.SECOND,
                 Kind.WORKER,
-                15 * Fleet.SECOND,
+                15 * SimulatedFleet.SECOND,
                 Kind.FUNCTION,
-                20 * Fleet.SECOND));
-    fleet.run(20 * Fleet.SECOND);
+                20 * SimulatedFleet.SECOND));
+    fleet.run(20 * SimulatedFleet.SECOND);
     fleet.failing = 5; // one of the twelve, from now on
-    fleet.run(5 * Fleet.SECOND);
+    fleet.run(5 * SimulatedFleet.SECOND);
     for (int i = 0; i < restarts; i++) {
       fleet.start(i);
       if (learns) {
@@ -42,7 +42,7 @@
       }
     }
     fleet.watched = 0;
-    fleet.run(5 * Fleet.SECOND);
+    fleet.run(5 * SimulatedFleet.SECOND);
     double taken = Math.max(1, fleet.taken);
     return new Met(fleet.metLoad / taken, fleet.metError / taken);
   }
@@ -81,9 +81,9 @@
 
   @Test
   public void whoLearnsMeetsFewerLoadsAndErrors() {
-    Met fresh = mean("one learns, facts 0.2 s old", Fleet.SECOND / 5, 1);
-    Met half = mean("half the fleet learns from one", Fleet.SECOND / 5, 2);
-    Met old = mean("one learns, facts 20 s old", 20 * Fleet.SECOND, 1);
+    Met fresh = mean("one learns, facts 0.2 s old", SimulatedFleet.SECOND / 5, 1);
+    Met half = mean("half the fleet learns from one", SimulatedFleet.SECOND / 5, 2);
+    Met old = mean("one learns, facts 20 s old", 20 * SimulatedFleet.SECOND, 1);
     assertTrue(fresh.toString(), fresh.loads + fresh.errors < 0 && fresh.errors < 0);
     assertTrue(half.toString(), half.loads + half.errors < 0 && half.errors < 0);
     assertTrue("old facts do no harm: " + old, old.loads + old.errors < 0.01);
--- a/src/test/java/umberrun/learning/Fleet.java
+++ b/src/test/java/umberrun/learning/SimulatedFleet.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import saddlestall.Choice;
+import saddlestall.AdaptiveDispatcher;
 import saddlestall.Dispatcher.*;
 
 /**
@@ -18,7 +18,7 @@
  * functions when they are asked for, keep them while they are used, and have room for some. One
  * seed, one course of things.
  */
-final class Fleet {
+final class SimulatedFleet {
   static final long MS = 1_000;
   static final long SECOND = 1_000_000;
   private static final int FUNCTIONS = 60;
@@ -44,7 +44,7 @@
   private final Random random;
   private final Settings settings;
   private final Worker[] workers;
-  private final Choice[] instances;
+  private final AdaptiveDispatcher[] instances;
   private final Map<Integer, Long> functionOf = new HashMap<>();
   private final Map<Integer, Integer> attempts = new HashMap<>();
   private long order;
@@ -89,11 +89,11 @@
 
   int metError;
 
-  Fleet(long seed, int instanceCount, int workerCount) {
+  SimulatedFleet(long seed, int instanceCount, int workerCount) {
     this(seed, instanceCount, workerCount, CALLS_A_SECOND);
   }
 
-  Fleet(long seed, int instanceCount, int workerCount, double callsASecond) {
+  SimulatedFleet(long seed, int instanceCount, int workerCount, double callsASecond) {
     this.callsASecond = callsASecond;
     random = new Random(seed);
     CallClass kind =
@@ -119,7 +119,7 @@
     for (int i = 0; i < workerCount; i++) {
       workers[i] = new Worker();
     }
-    instances = new Choice[instanceCount];
+    instances = new AdaptiveDispatcher[instanceCount];
     for (int i = 0; i < instanceCount; i++) {
       start(i);
       arrive(i);
@@ -132,10 +132,10 @@
     for (int w = 0; w < workers.length; w++) {
       members.add(new Member(w * 0x9E3779B1, w % 3, 0, 0, State.READY, 1, 0));
     }
-    Choice[] self = new Choice[1];
+    AdaptiveDispatcher[] self = new AdaptiveDispatcher[1];
     Consumer<Action> out = a -> act(instance, self[0], a);
     List<Action> first = new ArrayList<>();
-    self[0] = new Choice(settings, random.nextLong(), now, first::add);
+    self[0] = new AdaptiveDispatcher(settings, random.nextLong(), now, first::add);
     instances[instance] = self[0];
     first.forEach(out);
     self[0].handle(now, new Members(ListKind.FULL, members), out);
@@ -149,8 +149,8 @@
   }
 
   /** One instance learns what another saw, {@code age} ago. */
-  void learn(int instance, int from, long age, Calibration calibration) {
-    Choice module = instances[instance];
+  void learn(int instance, int from, long age, FactHalfLife calibration) {
+    AdaptiveDispatcher module = instances[instance];
     instances[from].recall(
         now,
         k -> {
@@ -206,7 +206,7 @@
                 (-Math.log(1 - random.nextDouble()) * SECOND / callsASecond * instances.length),
         () -> {
           long function = 1 + (long) (FUNCTIONS * random.nextDouble() * random.nextDouble());
-          Choice module = instances[instance];
+          AdaptiveDispatcher module = instances[instance];
           taken += instance == watched ? 1 : 0;
           functionOf.put(calls, function);
           begunAt.put(calls, now);
@@ -218,7 +218,7 @@
         });
   }
 
-  private void act(int instance, Choice module, Action action) {
+  private void act(int instance, AdaptiveDispatcher module, Action action) {
     if (module != instances[instance]) { // of a life that is over
       return;
     }
@@ -245,7 +245,7 @@
     }
   }
 
-  private void tell(int instance, Choice module, Event event) {
+  private void tell(int instance, AdaptiveDispatcher module, Event event) {
     if (module == instances[instance]) {
       module.handle(now, event, a -> act(instance, module, a));
     }
@@ -278,7 +278,7 @@
   void hear(int worker, double pace, double bad, long seenAt, double weight) {
     for (int i = 0; i < instances.length; i++) {
       int to = i;
-      Choice module = instances[i];
+      AdaptiveDispatcher module = instances[i];
       at(
           now + ROUND_TRIP,
           () -> tell(to, module, new KnownWorker(id(worker), pace, bad, now - seenAt, weight)));
@@ -294,7 +294,7 @@
     throw new AssertionError("no such worker");
   }
 
-  private void run(int instance, Choice module, Send s) {
+  private void run(int instance, AdaptiveDispatcher module, Send s) {
     Worker w = worker(s.worker());
     int attempt = attempts.merge(s.call(), 1, Integer::sum) - 1;
     if (failing >= 0 && w == workers[failing]) {
--- a/src/test/java/umberrun/lease/LeaseWorldTest.java
+++ b/src/test/java/umberrun/lease/LeaseModelTest.java
@@ -5,30 +5,30 @@
 import static org.junit.Assert.assertTrue;
 
 import org.junit.Test;
-import umberrun.lease.sim.LeaseTrial.Fault;
-import umberrun.lease.sim.LeaseTrial.Maker;
-import umberrun.lease.sim.LeaseWorld;
-import umberrun.lease.sim.LeaseWorld.Bounds;
-import umberrun.sim.Explorer;
+import umberrun.lease.sim.LeaseSimulation.Fault;
+import umberrun.lease.sim.LeaseSimulation.Factory;
+import umberrun.lease.sim.LeaseModel;
+import umberrun.lease.sim.LeaseModel.Bounds;
+import umberrun.sim.ModelChecker;
 
 /**
  * One duty, two candidates and three voters in all courses of small cases, and variants broken on
  * purpose that must be caught.
  */
-public class LeaseWorldTest {
+public class LeaseModelTest {
   private static final int MOST = 3_000_000;
 
-  private static Explorer of(Bounds bounds, Maker maker, Fault fault) {
-    return new Explorer(new LeaseWorld(bounds, maker, fault), MOST);
+  private static ModelChecker of(Bounds bounds, Factory maker, Fault fault) {
+    return new ModelChecker(new LeaseModel(bounds, maker, fault), MOST);
   }
 
   private static void holds(Bounds bounds, int least) {
-    Explorer e = of(bounds, Claimant::new, Fault.NONE);
+    ModelChecker e = of(bounds, LeaseElector::new, Fault.NONE);
     assertNull(e.explore());
     assertTrue(bounds + ": " + e.states(), e.isThrough() && e.states() >= least);
   }
 
-  private static void isCaught(Bounds bounds, Maker maker, Fault fault) {
+  private static void isCaught(Bounds bounds, Factory maker, Fault fault) {
     assertNotNull(bounds.toString(), of(bounds, maker, fault).explore());
   }
 
@@ -61,32 +61,32 @@
   /** Guards the checks: a voter that answers before its promise is on disk. */
   @Test
   public void aVariantThatSkipsTheSyncIsCaught() {
-    isCaught(new Bounds(false, 3, 0, 0, 1, 0, 0, 0), Claimant::new, Fault.SKIPS_SYNC);
+    isCaught(new Bounds(false, 3, 0, 0, 1, 0, 0, 0), LeaseElector::new, Fault.SKIPS_SYNC);
   }
 
   /** Guards the checks: a voter that votes on without what it had promised. */
   @Test
   public void aVariantThatVotesAfterLosingItsFolderIsCaught() {
-    isCaught(new Bounds(false, 3, 0, 0, 1, 0, 0, 0), Claimant::new, Fault.VOTES_WITHOUT_FOLDER);
+    isCaught(new Bounds(false, 3, 0, 0, 1, 0, 0, 0), LeaseElector::new, Fault.VOTES_WITHOUT_FOLDER);
   }
 
   /** Guards the checks: one to whom acts come, and who does not look at their fences. */
   @Test
   public void aVariantThatTakesOldFencesIsCaught() {
-    isCaught(new Bounds(false, 4, 0, 0, 0, 0, 2, 0), Claimant::new, Fault.TAKES_OLD_FENCES);
+    isCaught(new Bounds(false, 4, 0, 0, 0, 0, 2, 0), LeaseElector::new, Fault.TAKES_OLD_FENCES);
   }
 
   /** Guards the checks: a holder that counts from the answer in place of the question. */
   @Test
   public void aVariantThatCountsFromTheAnswerIsCaught() {
     isCaught(
-        new Bounds(false, 3, 1, 0, 0, 0, 0, 0), BrokenClaimants.COUNTS_FROM_THE_ANSWER, Fault.NONE);
+        new Bounds(false, 3, 1, 0, 0, 0, 0, 0), FaultyElectors.COUNTS_FROM_THE_ANSWER, Fault.NONE);
   }
 
   /** Guards the checks: one that takes a lease without the allowance for clocks that run apart. */
   @Test
   public void aVariantThatIgnoresTheRatesOfClocksIsCaught() {
-    isCaught(new Bounds(false, 3, 0, 0, 0, 0, 0, 0), BrokenClaimants.IGNORES_RATES, Fault.NONE);
+    isCaught(new Bounds(false, 3, 0, 0, 0, 0, 0, 0), FaultyElectors.IGNORES_RATES, Fault.NONE);
   }
 
   /**
@@ -96,6 +96,6 @@
   @Test
   public void aVariantThatCountsWhatItReadIsCaught() {
     isCaught(
-        new Bounds(false, 3, 1, 0, 0, 0, 0, 0), BrokenClaimants.COUNTS_WHAT_IT_READ, Fault.NONE);
+        new Bounds(false, 3, 1, 0, 0, 0, 0, 0), FaultyElectors.COUNTS_WHAT_IT_READ, Fault.NONE);
   }
 }
--- a/src/test/java/umberrun/lease/LeaseSeedsTest.java
+++ b/src/test/java/umberrun/lease/LeaseSeedsTest.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.Test;
-import umberrun.agreement.Proposer;
-import umberrun.agreement.Value;
-import umberrun.lease.sim.LeaseTrial;
-import umberrun.lease.sim.LeaseTrial.Fault;
-import umberrun.lease.sim.LeaseTrial.Maker;
+import umberrun.consensus.Proposer;
+import umberrun.consensus.RegisterValue;
+import umberrun.lease.sim.LeaseSimulation;
+import umberrun.lease.sim.LeaseSimulation.Fault;
+import umberrun.lease.sim.LeaseSimulation.Factory;
 
 /** One duty under faults that a seed draws, and variants broken on purpose that must be caught. */
 public class LeaseSeedsTest {
@@ -24,16 +24,16 @@
    * In fair times a free duty is taken within a lease, the wait of others beyond it and the time
    * between two looks.
    */
-  private static final long BOUND = 3 * LeaseTrial.USUAL.length();
+  private static final long BOUND = 3 * LeaseSimulation.USUAL.length();
 
   /** Some ten faults, then fair times in which the duty must be taken. What broke, or null. */
-  static String play(long seed, Maker maker, Fault fault) {
+  static String play(long seed, Factory maker, Fault fault) {
     SplittableRandom random = new SplittableRandom(seed);
-    LeaseTrial t =
-        new LeaseTrial(
+    LeaseSimulation t =
+        new LeaseSimulation(
             random.nextInt(4) == 0 ? 5 : 3,
             2 + random.nextInt(3),
-            LeaseTrial.USUAL,
+            LeaseSimulation.USUAL,
             random.nextLong(),
             maker,
             fault);
@@ -59,12 +59,12 @@
       return t.holder() >= 0
           ? null
           : "seed " + seed + ": nobody has the duty after " + BOUND / SECOND + " s";
-    } catch (LeaseTrial.Broken e) {
+    } catch (LeaseSimulation.InvariantViolation e) {
       return "seed " + seed + ": " + e.getMessage();
     }
   }
 
-  private static void draw(LeaseTrial t, SplittableRandom random, Fault fault) {
+  private static void draw(LeaseSimulation t, SplittableRandom random, Fault fault) {
     int voter = random.nextInt(t.voterCount());
     int who = random.nextInt(t.claimantCount());
     int holder = t.holder();
@@ -136,7 +136,7 @@
     }
   }
 
-  private static String firstBroken(int seeds, Maker maker, Fault fault) {
+  private static String firstBroken(int seeds, Factory maker, Fault fault) {
     for (long seed = 1; seed <= seeds; seed++) {
       String broken = play(seed, maker, fault);
       if (broken != null && !broken.contains("nobody")) {
@@ -149,39 +149,39 @@
   @Test
   public void atMostOneMayActAndAFreeDutyIsTaken() {
     for (long seed = 1; seed <= 600; seed++) {
-      assertNull(play(seed, Claimant::new, Fault.NONE));
+      assertNull(play(seed, LeaseElector::new, Fault.NONE));
     }
   }
 
   /** Guards the checks: a voter that answers before its promise is on disk. */
   @Test
   public void aVariantThatSkipsTheSyncIsCaught() {
-    assertNotNull(firstBroken(4_000, Claimant::new, Fault.SKIPS_SYNC));
+    assertNotNull(firstBroken(4_000, LeaseElector::new, Fault.SKIPS_SYNC));
   }
 
   /** Guards the checks: a voter that votes on without what it had promised. */
   @Test
   public void aVariantThatVotesAfterLosingItsFolderIsCaught() {
-    assertNotNull(firstBroken(4_000, Claimant::new, Fault.VOTES_WITHOUT_FOLDER));
+    assertNotNull(firstBroken(4_000, LeaseElector::new, Fault.VOTES_WITHOUT_FOLDER));
   }
 
   /** Guards the checks: one to whom acts come, and who does not look at their fences. */
   @Test
   public void aVariantThatTakesOldFencesIsCaught() {
-    String broken = firstBroken(4_000, Claimant::new, Fault.TAKES_OLD_FENCES);
+    String broken = firstBroken(4_000, LeaseElector::new, Fault.TAKES_OLD_FENCES);
     assertTrue(broken, broken != null && broken.contains("fence"));
   }
 
   /** Guards the checks: a holder that counts from the answer in place of the question. */
   @Test
   public void aVariantThatCountsFromTheAnswerIsCaught() {
-    assertNotNull(firstBroken(4_000, BrokenClaimants.COUNTS_FROM_THE_ANSWER, Fault.NONE));
+    assertNotNull(firstBroken(4_000, FaultyElectors.COUNTS_FROM_THE_ANSWER, Fault.NONE));
   }
 
   /** Guards the checks: one that takes a lease without the allowance for clocks that run apart. */
   @Test
   public void aVariantThatIgnoresTheRatesOfClocksIsCaught() {
-    assertNotNull(firstBroken(4_000, BrokenClaimants.IGNORES_RATES, Fault.NONE));
+    assertNotNull(firstBroken(4_000, FaultyElectors.IGNORES_RATES, Fault.NONE));
   }
 
   /**
@@ -190,20 +190,20 @@
    */
   @Test
   public void aVariantThatCountsWhatItReadIsCaught() {
-    assertNotNull(firstBroken(4_000, BrokenClaimants.COUNTS_WHAT_IT_READ, Fault.NONE));
+    assertNotNull(firstBroken(4_000, FaultyElectors.COUNTS_WHAT_IT_READ, Fault.NONE));
   }
 
   /** Of a register that holds no lease nobody takes anything, and it is looked at again. */
   @Test
   public void whatIsNoLeaseIsNotTaken() {
     List<String> wants = new ArrayList<>();
-    Claimant c =
-        new Claimant(
-            LeaseTrial.USUAL,
+    LeaseElector c =
+        new LeaseElector(
+            LeaseSimulation.USUAL,
             "c",
             1,
             new SplittableRandom(1),
-            new Claimant.Outbox() {
+            new LeaseElector.Outbox() {
               @Override
               public void read(long until) {
                 wants.add("read");
@@ -225,8 +225,8 @@
               }
             });
     c.start(0);
-    c.changed(1, new Value(4, "spoilt"));
-    c.due(LeaseTrial.USUAL.length());
+    c.changed(1, new RegisterValue(4, "spoilt"));
+    c.due(LeaseSimulation.USUAL.length());
     assertEquals(List.of("read", "wake", "read"), wants);
   }
 }
--- a/src/test/java/umberrun/worker/WorkerPoolTest.java
+++ b/src/test/java/umberrun/worker/WorkerPoolTest.java
@@ -20,19 +20,19 @@
 import saddlestall.Dispatcher.Code;
 import saddlestall.Dispatcher.State;
 import saddlestall.benchlink.SettingsJson;
-import umberrun.admission.Account;
-import umberrun.admission.Account.Use;
+import umberrun.admission.ConnectionLimits;
+import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.config.Config.Names;
 import umberrun.core.Clock;
 import umberrun.core.Endpoint;
-import umberrun.core.LeaseGate;
+import umberrun.core.WorkerLeaseView;
 import umberrun.stats.Counters;
 
 /** What the way to the workers keeps, and what it reads, without a socket. */
 public class WorkerPoolTest {
   /** Discovery is never out of reach. */
-  private static final LeaseGate LEASES =
-      new LeaseGate() {
+  private static final WorkerLeaseView LEASES =
+      new WorkerLeaseView() {
         @Override
         public long leaseUntil(int worker) {
           return Long.MAX_VALUE;
@@ -53,7 +53,7 @@
             new Counters(),
             SettingsJson.read("{}"),
             new Names(List.of("a"), List.of(), List.of(), List.of(), 1_000, 100, 1_000),
-            new Account(256, false, false, 0),
+            new ConnectionLimits(256, false, false, 0),
             LEASES);
     for (int id = 0; id < 10; id++) {
       pool.update(id, endpoint(id, State.READY), 0);
@@ -82,7 +82,7 @@
         fleet.command(id);
         assertTrue("worker " + id, fleet.arrived.tryAcquire(10, TimeUnit.SECONDS));
       }
-      assertTrue(fleet.account.held(Use.LINKS) <= fleet.account.most(Use.LINKS));
+      assertTrue(fleet.account.held(Purpose.LINKS) <= fleet.account.most(Purpose.LINKS));
     }
   }
 
@@ -109,11 +109,11 @@
       CompletableFuture<Code> end = new CompletableFuture<>();
       vertx.runOnContext(
           v -> {
-            Link link =
-                new Link(
+            WorkerConnection link =
+                new WorkerConnection(
                     vertx,
                     new Clock(),
-                    new Link.Home() {
+                    new WorkerConnection.Listener() {
                       @Override
                       public void withheld() {}
 
@@ -123,7 +123,7 @@
                       }
 
                       @Override
-                      public void closed(Link l) {}
+                      public void closed(WorkerConnection l) {}
                     },
                     60_000);
             vertx
@@ -147,8 +147,8 @@
     }
   }
 
-  private static Exchange command(int bytes, CompletableFuture<Code> end) {
-    return new Exchange(Buffer.buffer("9b1f"), Long.MAX_VALUE / 2) {
+  private static PendingCommand command(int bytes, CompletableFuture<Code> end) {
+    return new PendingCommand(Buffer.buffer("9b1f"), Long.MAX_VALUE / 2) {
       @Override
       Buffer command(long now) {
         return Buffer.buffer(new byte[bytes]);
@@ -172,7 +172,7 @@
     private final Context context = vertx.getOrCreateContext();
     final Semaphore arrived = new Semaphore(0);
     final Semaphore closed = new Semaphore(0);
-    final Account account = new Account(256, false, false, 0);
+    final ConnectionLimits account = new ConnectionLimits(256, false, false, 0);
     private final WorkerPool pool =
         new WorkerPool(
             vertx,
--- a/src/test/java/umberrun/roll/PollerTest.java
+++ b/src/test/java/umberrun/workerlist/LongPollerTest.java
@@ -1,4 +1,4 @@
-package umberrun.roll;
+package umberrun.workerlist;
 
 import static org.junit.Assert.assertEquals;
 import static org.junit.Assert.assertTrue;
@@ -19,7 +19,7 @@
 import umberrun.stats.Counters;
 
 /** What a poller takes for an answer, and from whom. */
-public class PollerTest {
+public class LongPollerTest {
   private static final long PATIENCE_SECONDS = 10;
   private final Vertx vertx = Vertx.vertx();
   private final Context loop = vertx.getOrCreateContext();
@@ -51,7 +51,7 @@
                 .requestHandler(
                     r -> taken.add(hung.incrementAndGet() <= most ? "hung" : r.path())));
     SocketAddress now = listening(vertx.createHttpServer().requestHandler(r -> {}));
-    Poller poller = new Poller(vertx, old, new Counters());
+    LongPoller poller = new LongPoller(vertx, old, new Counters());
     loop.runOnContext(
         v -> {
           for (int i = 0; i < most; i++) {
@@ -76,7 +76,7 @@
     expect(most, "closed");
     loop.runOnContext(
         v ->
-            new Poller(vertx, old, new Counters())
+            new LongPoller(vertx, old, new Counters())
                 .ask(HttpMethod.GET, "/other", Buffer.buffer(), 1_000));
     expect(1, "/other");
   }
@@ -116,7 +116,7 @@
             .actualPort();
     loop.runOnContext(
         v ->
-            new Poller(vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), new Counters())
+            new LongPoller(vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), new Counters())
                 .ask(
                     HttpMethod.GET,
                     "/",
@@ -145,14 +145,14 @@
                       }
                       vertx.setTimer(1_200, t -> r.response().end("late"));
                     }));
-    Poller poller = new Poller(vertx, slow, new Counters());
+    LongPoller poller = new LongPoller(vertx, slow, new Counters());
     loop.runOnContext(
         v ->
             poller.repeat(
                 100,
                 () ->
                     poller
-                        .ask(HttpMethod.GET, "/", Buffer.buffer(), 100 + Poller.LATE_MILLIS)
+                        .ask(HttpMethod.GET, "/", Buffer.buffer(), 100 + LongPoller.LATE_MILLIS)
                         .map(
                             a -> {
                               taken.add(a.body().toString());
--- a/src/test/java/umberrun/works/WorksFigures.java
+++ b/src/test/java/umberrun/works/WorksFigures.java
@@ -8,8 +8,8 @@
 import umberrun.works.Ledger.Late;
 import umberrun.works.Ledger.Plan;
 import umberrun.works.Ledger.State;
-import umberrun.works.sim.WorksTrial;
-import umberrun.works.sim.WorksTrial.Maker;
+import umberrun.works.sim.WorksSimulation;
+import umberrun.works.sim.WorksSimulation.Factory;
 
 /**
  * Figures for docs/works.md, outside the build: all of 60 machines, six at a time, by three orders,
@@ -53,43 +53,43 @@
   private static double[] play(int fronts, String how, long seed) {
     Random random = new Random(seed);
     long[] nanos = new long[1];
-    WorksTrial t =
-        new WorksTrial(
+    WorksSimulation t =
+        new WorksSimulation(
             fronts,
             3,
             20,
             seed,
-            new Maker() {
+            new Factory() {
               @Override
-              public Driver driver(long fence) {
-                return new Driver(WorksTrial.SETTINGS, fence) {
+              public PlanExecutor driver(long fence) {
+                return new PlanExecutor(WorksSimulation.SETTINGS, fence) {
                   @Override
-                  public Wanted next(long now, Ledger l, World w, List<Report> reports) {
+                  public PlannedStep next(long now, Ledger l, MachineView w, List<FrontEndReport> reports) {
                     long asked = System.nanoTime();
-                    Wanted next = super.next(now, l, w, reports);
+                    PlannedStep next = super.next(now, l, w, reports);
                     nanos[0] += System.nanoTime() - asked;
                     return next;
                   }
 
                   @Override
-                  public List<Move> moves(Ledger l, World w, List<Report> reports) {
+                  public List<CopyMove> moves(Ledger l, MachineView w, List<FrontEndReport> reports) {
                     long asked = System.nanoTime();
-                    List<Move> moves = super.moves(l, w, reports);
+                    List<CopyMove> moves = super.moves(l, w, reports);
                     nanos[0] += System.nanoTime() - asked;
                     return moves;
                   }
 
                   @Override
-                  protected List<Order.Place> order(Ledger l, World w, List<Report> reports) {
-                    List<Order.Place> places = new ArrayList<>(super.order(l, w, reports));
+                  protected List<MachineOrder.Place> order(Ledger l, MachineView w, List<FrontEndReport> reports) {
+                    List<MachineOrder.Place> places = new ArrayList<>(super.order(l, w, reports));
                     if (how.equals("random")) {
                       Collections.shuffle(places, random);
                     } else if (how.equals("name")) {
-                      places.sort(Comparator.comparing(Order.Place::machine));
+                      places.sort(Comparator.comparing(MachineOrder.Place::machine));
                     }
                     places.sort(
                         Comparator.comparing(
-                            (Order.Place p) -> !p.may())); // what may not go stays where it is
+                            (MachineOrder.Place p) -> !p.may())); // what may not go stays where it is
                     return places;
                   }
                 };
--- a/src/test/java/umberrun/works/WorksRulesTest.java
+++ b/src/test/java/umberrun/works/WorksRulesTest.java
@@ -34,24 +34,24 @@
     return new Machine(name, hall, plan, Stage.WAITING, 0, 0, false, List.of(), "");
   }
 
-  private static World world(String... failing) {
-    Map<String, World.Seen> seen = new TreeMap<>();
+  private static MachineView world(String... failing) {
+    Map<String, MachineView.ObservedMachine> seen = new TreeMap<>();
     for (String n : List.of("x0", "x1", "x2", "y0", "y1", "y2")) {
       seen.put(
           n,
-          new World.Seen(
+          new MachineView.ObservedMachine(
               n.substring(0, 1), "std", true, false, 5, false, List.of(failing).contains(n)));
     }
-    return new World(seen);
+    return new MachineView(seen);
   }
 
-  private static Report report(
+  private static FrontEndReport report(
       Member m,
-      Map<String, Report.Quiet> out,
+      Map<String, FrontEndReport.BanProgress> out,
       Map<String, Set<String>> copies,
       double taken,
       double refused) {
-    return new Report(m, out, Set.of(), Map.of("x1", 4), copies, taken, refused);
+    return new FrontEndReport(m, out, Set.of(), Map.of("x1", 4), copies, taken, refused);
   }
 
   private static Ledger begun() {
@@ -143,24 +143,24 @@
   @Test
   public void theOrderHasItsReasons() {
     Ledger l = begun();
-    List<Report> told =
+    List<FrontEndReport> told =
         List.of(report(A, Map.of(), Map.of("f1", Set.of("x0"), "f2", Set.of("x1", "y1")), 50, 0));
-    assertEquals(List.of("f1"), Order.lastCopies("x0", l, world(), told));
-    assertEquals(List.of(), Order.lastCopies("x1", l, world(), told));
-    List<Order.Place> places = Order.of(l, world(), told);
-    assertEquals(List.of("y0", "x1", "x0"), places.stream().map(Order.Place::machine).toList());
+    assertEquals(List.of("f1"), MachineOrder.lastCopies("x0", l, world(), told));
+    assertEquals(List.of(), MachineOrder.lastCopies("x1", l, world(), told));
+    List<MachineOrder.Place> places = MachineOrder.of(l, world(), told);
+    assertEquals(List.of("y0", "x1", "x0"), places.stream().map(MachineOrder.Place::machine).toList());
     Ledger out = l.stage(1, "x1", Stage.MOVING, 5, "");
-    List<Order.Place> then = Order.of(out, world(), told);
+    List<MachineOrder.Place> then = MachineOrder.of(out, world(), told);
     assertFalse(
         then.stream().filter(p -> p.machine().equals("y0")).findFirst().orElseThrow().may());
     assertTrue(then.toString(), then.toString().contains("another hall is touched"));
     assertEquals(
-        "f2 is the last one at x1's going", List.of(), Order.lastCopies("x1", out, world(), told));
-    assertTrue(Order.of(l, world("y0", "y1", "y2", "x2"), told).toString().contains("must stay"));
-    assertEquals("x2", Order.target("x0", l, world(), told));
+        "f2 is the last one at x1's going", List.of(), MachineOrder.lastCopies("x1", out, world(), told));
+    assertTrue(MachineOrder.of(l, world("y0", "y1", "y2", "x2"), told).toString().contains("must stay"));
+    assertEquals("x2", MachineOrder.target("x0", l, world(), told));
   }
 
-  private static Driver.Wanted next(Driver d, long at, Ledger l, World w, List<Report> told) {
+  private static PlanExecutor.PlannedStep next(PlanExecutor d, long at, Ledger l, MachineView w, List<FrontEndReport> told) {
     return d.next(at, l, w, told);
   }
 
@@ -170,16 +170,16 @@
    */
   @Test
   public void lastCopiesGoFirst() {
-    Driver d = new Driver(new Driver.Settings(SECOND, 3 * SECOND, 1.5, 0.1), 1);
+    PlanExecutor d = new PlanExecutor(new PlanExecutor.Settings(SECOND, 3 * SECOND, 1.5, 0.1), 1);
     Ledger l = begun().takeOver(1).stage(1, "x0", Stage.MOVING, 5, "");
-    List<Report> told =
+    List<FrontEndReport> told =
         List.of(
             report(A, Map.of(), Map.of("f1", Set.of("x0")), 5, 0),
             report(B, Map.of(), Map.of("f1", Set.of("x0")), 9, 0));
-    assertEquals(List.of(new Driver.Move("f1", "x2", "b")), d.moves(l, world(), told));
+    assertEquals(List.of(new PlanExecutor.CopyMove("f1", "x2", "b")), d.moves(l, world(), told));
     Ledger one = l.skip("op", "x1").skip("op", "y0");
     assertNull(next(d, SECOND, one, world(), told));
-    Driver.Wanted gone = next(d, 5 * SECOND, one, world(), told);
+    PlanExecutor.PlannedStep gone = next(d, 5 * SECOND, one, world(), told);
     Ledger after = gone.step().apply(one);
     assertEquals(Stage.GOING, after.machine("x0").stage());
     assertTrue(after.machine("x0").note().contains("1 last copies"));
@@ -193,12 +193,12 @@
   @Test
   public void troubleStopsAPlanAndQuietLetsItGoOn() {
     for (String trouble : List.of("traffic jumped", "are refused", "is lost")) {
-      Driver d = new Driver(new Driver.Settings(2 * SECOND, SECOND, 1.5, 0.1), 1);
+      PlanExecutor d = new PlanExecutor(new PlanExecutor.Settings(2 * SECOND, SECOND, 1.5, 0.1), 1);
       Ledger l = begun().takeOver(1);
       for (int i = 0; i < 100; i++) {
         d.next(i * SECOND / 10, l, world(), List.of(report(A, Map.of(), Map.of(), 50, 0)));
       }
-      Driver.Wanted held =
+      PlanExecutor.PlannedStep held =
           trouble.startsWith("traffic")
               ? d.next(10 * SECOND, l, world(), List.of(report(A, Map.of(), Map.of(), 100, 0)))
               : trouble.startsWith("are")
@@ -230,7 +230,7 @@
   @Test
   public void overdueIsAsThePlanSays() {
     for (Late late : Late.values()) {
-      Driver d = new Driver(new Driver.Settings(SECOND, SECOND, 9, 0.9), 1);
+      PlanExecutor d = new PlanExecutor(new PlanExecutor.Settings(SECOND, SECOND, 9, 0.9), 1);
       Ledger l =
           Ledger.EMPTY
               .join(A, true)
@@ -252,17 +252,17 @@
    */
   @Test
   public void aCrewSaysWhatItKnows() {
-    Crew c = new Crew(A);
+    PlanParticipant c = new PlanParticipant(A);
     Ledger l =
         begun().takeOver(1).stage(1, "x0", Stage.MOVING, 5, "").stage(1, "x0", Stage.GOING, 5, "");
     assertTrue(c.learn(7, l));
     assertFalse("older", c.learn(6, begun()));
-    List<Report> said = new ArrayList<>();
+    List<FrontEndReport> said = new ArrayList<>();
     for (boolean accompanied : new boolean[] {false, true}) {
       c.accompanied(accompanied);
       said.add(c.report(c.banned(), n -> 2, Map.of(), Map.of(), 0, 0));
     }
-    assertEquals(Map.of("x0", new Report.Quiet(l.steps(), 2)), said.get(0).out());
+    assertEquals(Map.of("x0", new FrontEndReport.BanProgress(l.steps(), 2)), said.get(0).out());
     assertEquals(Map.of(), said.get(1).out());
     assertTrue(c.resumeByHand("x0") && c.banned().isEmpty() && !c.resumeByHand("x1"));
     Ledger again =
--- a/src/test/java/umberrun/works/WorksSeedsTest.java
+++ b/src/test/java/umberrun/works/WorksSeedsTest.java
@@ -13,15 +13,15 @@
 import umberrun.works.Ledger.Member;
 import umberrun.works.Ledger.Plan;
 import umberrun.works.Ledger.State;
-import umberrun.works.sim.WorksTrial;
-import umberrun.works.sim.WorksTrial.Maker;
+import umberrun.works.sim.WorksSimulation;
+import umberrun.works.sim.WorksSimulation.Factory;
 
 /**
  * Plans under faults that a seed draws, variants that must be caught, and the ledger's own rules.
  */
 public class WorksSeedsTest {
   private static final long SECOND = 1_000_000;
-  private static final Maker SOUND = new Maker() {};
+  private static final Factory SOUND = new Factory() {};
 
   private int freed;
   private int sends;
@@ -44,10 +44,10 @@
         "");
   }
 
-  private String play(long seed, Maker maker) {
+  private String play(long seed, Factory maker) {
     SplittableRandom random = new SplittableRandom(seed);
-    WorksTrial t =
-        new WorksTrial(3 + random.nextInt(3), 1 + random.nextInt(3), 3, random.nextLong(), maker);
+    WorksSimulation t =
+        new WorksSimulation(3 + random.nextInt(3), 1 + random.nextInt(3), 3, random.nextLong(), maker);
     int atOnce = 1 + random.nextInt(2);
     try {
       t.run(2 * SECOND);
@@ -94,12 +94,12 @@
                   && !t.ledger().plans().isEmpty()
           ? null
           : "seed " + seed + ": not ended: " + t.waits();
-    } catch (WorksTrial.Broken e) {
+    } catch (WorksSimulation.InvariantViolation e) {
       return "seed " + seed + ": " + e.getMessage();
     }
   }
 
-  private void fair(WorksTrial t, List<String> names) {
+  private void fair(WorksSimulation t, List<String> names) {
     t.reachable(true);
     t.load(1);
     t.net().healAll();
@@ -122,7 +122,7 @@
     t.run(SECOND);
   }
 
-  private void draw(WorksTrial t, SplittableRandom random, List<String> names, int atOnce) {
+  private void draw(WorksSimulation t, SplittableRandom random, List<String> names, int atOnce) {
     int a = random.nextInt(t.frontCount());
     String w = names.get(random.nextInt(names.size()));
     long later = t.net().now() + random.nextLong(6 * SECOND);
@@ -182,7 +182,7 @@
     }
   }
 
-  private String firstBroken(int seeds, Maker maker) {
+  private String firstBroken(int seeds, Factory maker) {
     for (long seed = 1; seed <= seeds; seed++) {
       String broken = play(seed, maker);
       if (broken != null && !broken.contains("not ended")) {
@@ -209,13 +209,13 @@
     assertNotNull(
         firstBroken(
             500,
-            new Maker() {
+            new Factory() {
               @Override
-              public Driver driver(long fence) {
-                return new Driver(WorksTrial.SETTINGS, fence) {
+              public PlanExecutor driver(long fence) {
+                return new PlanExecutor(WorksSimulation.SETTINGS, fence) {
                   @Override
                   protected boolean hasAnswered(
-                      Member member, Machine m, List<Report> reports, boolean quiet) {
+                      Member member, Machine m, List<FrontEndReport> reports, boolean quiet) {
                     return super.hasAnswered(member, m, reports, quiet)
                         || reports.stream().noneMatch(r -> r.member().equals(member));
                   }
@@ -230,10 +230,10 @@
     assertNotNull(
         firstBroken(
             2_000,
-            new Maker() {
+            new Factory() {
               @Override
-              public Driver driver(long fence) {
-                return new Driver(WorksTrial.SETTINGS, fence) {
+              public PlanExecutor driver(long fence) {
+                return new PlanExecutor(WorksSimulation.SETTINGS, fence) {
                   @Override
                   protected boolean isOvertaken(Ledger seen, Ledger now) {
                     return false;
@@ -254,7 +254,7 @@
     assertNotNull(
         firstBroken(
             500,
-            new Maker() {
+            new Factory() {
               @Override
               public boolean forgetsBans() {
                 return true;
