--- a/src/main/java/saddlestall/AdaptiveDispatcher.java
+++ b/src/main/java/saddlestall/AdaptiveDispatcher.java
@@ -9,8 +9,8 @@
 import java.util.function.Consumer;
 
 /**
- * Every decision of one front end. The interface is Dispatcher.java; Memory.java, Maths.java decide
- * nothing.
+ * Every decision of one front end. The interface is Dispatcher.java; DispatcherState.java,
+ * Maths.java decide nothing.
  *
  * <p>One learned linear score rates every worker for a call, a softmax draws one, and the weights
  * step online by time in flight, clipped as in PPO (docs/design.md). Times are in microseconds.
@@ -139,7 +139,7 @@
     super(settings.classes().size(), settings.tenants().size(), FEATURES, VALUES);
     SettingsValidator.check(settings);
     this.settings = settings;
-    siblings = divisor = settings.siblings();
+    siblings = divisor = settings.frontEndCount();
     quota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     this.random = new Random(seed);
     this.now = now;
@@ -152,15 +152,15 @@
     mixSpan = MIX_SPAN;
     for (int i = 0; i < classWork.length; i++) {
       CallClass c = settings.classes().get(i);
-      classWork[i] = new RunningMean(c.aim() / 4.0);
+      classWork[i] = new RunningMean(c.latencyTarget() / 4.0);
       classHint[i] = new RunningMean(1);
-      classLoad[i] = Math.min(c.aim(), c.giveUp() / 4.0);
+      classLoad[i] = Math.min(c.latencyTarget(), c.timeout() / 4.0);
       meanWork += classWork[i].value / classWork.length;
-      meanAim += c.aim() / (double) classWork.length;
+      meanAim += c.latencyTarget() / (double) classWork.length;
     }
-    act(new Timer(TICK, -1));
-    if (settings.listOnRequest()) {
-      act(new Watch(true));
+    act(new StartTimer(TICK, -1));
+    if (settings.subscribesToWorkerList()) {
+      act(new Subscribe(true));
     }
   }
 
@@ -170,37 +170,37 @@
   public void handle(long clock, Event event, Consumer<Action> actions) {
     now = clock;
     out = actions;
-    if (event instanceof Call e) {
+    if (event instanceof CallArrival e) {
       onCall(e);
-    } else if (event instanceof Outcome e) {
+    } else if (event instanceof AttemptOutcome e) {
       onOutcome(e);
-    } else if (event instanceof Due e) {
+    } else if (event instanceof TimerFired e) {
       onDue(e.token());
-    } else if (event instanceof Members e) {
-      onMembers(e);
-    } else if (event instanceof Loaded e) {
+    } else if (event instanceof WorkerListUpdate e) {
+      onWorkerListUpdate(e);
+    } else if (event instanceof PreloadResult e) {
       onLoaded(e);
-    } else if (event instanceof Left e) {
+    } else if (event instanceof ClientDisconnected e) {
       close(open.get(e.call()));
-    } else if (event instanceof Known e) {
-      believe(e, now);
-    } else if (event instanceof Wanted e) {
+    } else if (event instanceof Observation e) {
+      applyObservation(e, now);
+    } else if (event instanceof CopyRequested e) {
       Worker w = workers.get(e.worker());
       Function f = functions.get(e.function());
       if (w != null && f != null && !cold(w) && mayOrder(w)) {
         order(w, f, f.loadTime * storeFactor);
       }
-    } else if (event instanceof Expiring e) {
+    } else if (event instanceof LeasesExpiring e) {
       onExpiring(e);
-    } else if (event instanceof Siblings e) {
+    } else if (event instanceof FleetSizeUpdate e) {
       siblings = Math.max(1, e.count());
       divisor = Math.max(siblings, e.divisor());
-    } else if (event instanceof Started e && open.get(e.call()) != null) {
+    } else if (event instanceof StreamStarted e && open.get(e.call()) != null) {
       open.get(e.call()).streaming = true;
     }
   }
 
-  private void onCall(Call e) {
+  private void onCall(CallArrival e) {
     if (e.callClass() >= settings.classes().size()) {
       act(new Refuse(e.id(), 0));
       return;
@@ -215,11 +215,11 @@
     f.callClass = e.callClass();
     open.put(e.id(), call);
     retries = Math.min(RETRY_BURST, retries + RETRY_SHARE);
-    act(new Timer(Math.max(1, call.deadline - now), e.id() & 0xffffffffL));
+    act(new StartTimer(Math.max(1, call.deadline - now), e.id() & 0xffffffffL));
     if (turnedAway(call)) {
       refuse(call);
     } else {
-      if (!e.repeat()) { // guards rule 5: what was refused and tried again may not count there
+      if (!e.retry()) { // guards rule 5: what was refused and tried again may not count there
         callTimes.add(now);
       }
       place(call);
@@ -227,7 +227,7 @@
     }
   }
 
-  private void onOutcome(Outcome e) {
+  private void onOutcome(AttemptOutcome e) {
     PendingCall call = open.get(e.call());
     Worker w = workers.get(e.worker());
     Attempt a = w == null ? null : w.out.remove(key(e.call(), e.attempt()));
@@ -244,7 +244,7 @@
     if (!e.code().notRun) {
       call.mayHaveRun(a);
     }
-    if (e.closed() || e.code() == Code.OK) {
+    if (e.callClosed() || e.code() == OutcomeCode.OK) {
       close(call);
     } else if (call.outstanding == 0) {
       again(call, e.code());
@@ -254,9 +254,9 @@
   private void onDue(long token) {
     if (token == -1) {
       tick();
-      act(new Timer(TICK, -1));
+      act(new StartTimer(TICK, -1));
     } else if (token == -2) {
-      act(new Watch(true));
+      act(new Subscribe(true));
     } else {
       PendingCall call = open.get((int) token);
       if (call != null && !call.streaming && now >= call.deadline) {
@@ -265,29 +265,29 @@
     }
   }
 
-  private void onMembers(Members e) {
+  private void onWorkerListUpdate(WorkerListUpdate e) {
     if (e.kind() == ListKind.FAILED) {
-      act(new Timer(SECOND, -2));
+      act(new StartTimer(SECOND, -2));
       return;
     }
     if (e.kind() != ListKind.DELTA) {
       workers.values().forEach(w -> w.listed = false);
     }
-    for (Member m : e.members()) {
+    for (WorkerEntry m : e.workers()) {
       Worker w = workers.computeIfAbsent(m.worker(), id -> new Worker(id, cells));
       w.listed = true;
       told(w, m);
     }
     List<Worker> list = new ArrayList<>();
     for (Worker w : workers.values()) {
-      w.state = w.listed ? w.state : State.GONE;
-      if (w.state == State.READY) {
+      w.state = w.listed ? w.state : WorkerState.GONE;
+      if (w.state == WorkerState.READY) {
         w.place = list.size();
         list.add(w);
       }
     }
-    workers.values().removeIf(w -> w.state == State.GONE && w.out.isEmpty());
-    listed(list);
+    workers.values().removeIf(w -> w.state == WorkerState.GONE && w.out.isEmpty());
+    setReadyWorkers(list);
     if (served == 0
         && !list.isEmpty()) { // guards a start among cold workers alone, which would send nothing
       served =
@@ -297,8 +297,9 @@
   }
 
   /** One that restarts, or comes back after it was gone, is empty, cold and without a past. */
-  private void told(Worker w, Member m) {
-    if (m.cameUp() != w.cameUp || w.state == State.GONE && m.state() == State.READY) {
+  private void told(Worker w, WorkerEntry m) {
+    if (m.startedAt() != w.cameUp
+        || w.state == WorkerState.GONE && m.state() == WorkerState.READY) {
       w.copies.values().removeIf(c -> c.inFlight == 0);
       w.copies.values().forEach(c -> c.seenAt = 0);
       w.bad = 0;
@@ -308,22 +309,22 @@
       hallLost[hall(w)] = false;
       w.coldBudget = random.nextDouble(); // so that small shares sum up rightly over the front ends
     }
-    if (m.state() == State.READY
-        && w.state != State.READY) { // it was out, and now it is said to be back
+    if (m.state() == WorkerState.READY
+        && w.state != WorkerState.READY) { // it was out, and now it is said to be back
       w.turnedAway = 0;
       w.awayWait = 0;
       w.awayUntil = 0;
     }
-    w.told(m, settings.size(m));
+    w.told(m, settings.relativeSize(m));
   }
 
-  private void onLoaded(Loaded e) {
+  private void onLoaded(PreloadResult e) {
     Worker w = workers.get(e.worker());
     Copy c = w == null ? null : w.copies.get(e.function());
     if (c != null) {
       c.readyAt = 0;
-      c.trust = e.code() == Code.OK && e.copies() > 0 ? 1 : c.trust;
-      c.seenAt = e.code() == Code.OK && e.copies() > 0 ? now : c.seenAt;
+      c.trust = e.code() == OutcomeCode.OK && e.copies() > 0 ? 1 : c.trust;
+      c.seenAt = e.code() == OutcomeCode.OK && e.copies() > 0 ? now : c.seenAt;
       retryHeld();
     }
   }
@@ -381,7 +382,7 @@
       held.remove(call);
       boolean stale =
           call.sent == 0 && now - call.takenAt > HELD_PART * (call.deadline - call.takenAt);
-      if (stale || shed > 0 && now - call.takenAt + unit(call) > call.kind.aim()) {
+      if (stale || shed > 0 && now - call.takenAt + unit(call) > call.kind.latencyTarget()) {
         finish(call);
       } else {
         place(call);
@@ -462,7 +463,8 @@
     double busyLanes = busyLanes(f, w);
     double left = Math.max(MS, call.deadline - now);
     x[WARM] = belief * clamp(f.lanes - busyLanes, 0, 1);
-    x[LOAD] = Math.min(1, (1 - belief) * loadWait(call, w) / Math.min(left, call.kind.aim()));
+    x[LOAD] =
+        Math.min(1, (1 - belief) * loadWait(call, w) / Math.min(left, call.kind.latencyTarget()));
     x[OWN] = clamp((w.out.size() / w.size - meanOwn) / (meanOwn + 1), -1, 1);
     x[PACE] =
         clamp(
@@ -537,7 +539,7 @@
   }
 
   private long keep() {
-    return settings.loads().keep() > 0 ? settings.loads().keep() : KEEP;
+    return settings.loadPolicy().idleRetention() > 0 ? settings.loadPolicy().idleRetention() : KEEP;
   }
 
   /**
@@ -601,8 +603,10 @@
   /** Expected time in flight of a call on a warm worker of the usual pace. */
   private double unit(PendingCall call) {
     double prior = classWork[call.event.callClass()].value;
-    if (call.event.hint() > 0) { // hints are rough, and a small call waits like any other
-      return prior / 4 + 0.75 * call.event.hint() * classHint[call.event.callClass()].value;
+    if (call.event.expectedDuration()
+        > 0) { // hints are rough, and a small call waits like any other
+      return prior / 4
+          + 0.75 * call.event.expectedDuration() * classHint[call.event.callClass()].value;
     }
     return usual(call.function, call.event.callClass());
   }
@@ -623,7 +627,7 @@
       return false;
     }
     boolean alone = call.outstanding <= (call.hedged ? 1 : 0);
-    if (w.state != State.READY || !alone || call.mayHaveRun && !repeatable(call, w)) {
+    if (w.state != WorkerState.READY || !alone || call.mayHaveRun && !repeatable(call, w)) {
       return false;
     }
     return !cold(w) || w.coldBudget >= 1;
@@ -635,13 +639,14 @@
 
   private boolean repeatable(PendingCall call, Worker w) {
     CallClass kind = call.kind;
-    if (kind.effect() == Effect.SAFE) {
+    if (kind.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
-    if (kind.effect() == Effect.UNSAFE || now - call.ranSince >= kind.dedupWindow()) {
+    if (kind.idempotency() == Idempotency.NOT_IDEMPOTENT
+        || now - call.ranSince >= kind.dedupWindow()) {
       return false;
     }
-    return switch (kind.group()) {
+    return switch (kind.dedupScope()) {
       case ALL -> true;
       case ZONE -> w.zone == call.ranZone;
       case CELL -> w.cell == call.ranCell;
@@ -656,11 +661,17 @@
   private void fillColdBudget(Worker w) {
     Rules r = settings.rules();
     double rate =
-        COLD_MARGIN * r.fallMultiple() * r.grown(now, w.cameUp) * served / RATE_SPAN * w.size;
-    double most = Math.max(1, rate * r.fall() / SECOND / 4);
+        COLD_MARGIN
+            * r.overloadMultiple()
+            * r.warmUpFraction(now, w.cameUp)
+            * served
+            / RATE_SPAN
+            * w.size;
+    double most = Math.max(1, rate * r.overloadWindow() / SECOND / 4);
     w.coldSince = w.coldBudget < 1 ? now : w.coldSince;
     boolean lapsed =
-        most == 1 && now - w.coldSince > r.fall(); // else many front ends save one up each
+        most == 1
+            && now - w.coldSince > r.overloadWindow(); // else many front ends save one up each
     w.coldBudget =
         lapsed ? random.nextDouble() : Math.min(most, w.coldBudget + rate * TICK / SECOND);
   }
@@ -688,7 +699,8 @@
     call.sent++;
     call.outstanding++;
     long left = call.deadline - now;
-    boolean again = call.kind.effect() == Effect.SAFE && !settings.limits().cancel();
+    boolean again =
+        call.kind.idempotency() == Idempotency.IDEMPOTENT && !settings.limits().cancelAllowed();
     act(
         new Send(
             call.event.id(),
@@ -700,15 +712,15 @@
    * A call whose attempts are all over, unanswered: sent again within its class and the budget, or
    * ended.
    */
-  private void again(PendingCall call, Code last) {
-    boolean allowed = !call.mayHaveRun || call.kind.effect() != Effect.UNSAFE;
+  private void again(PendingCall call, OutcomeCode last) {
+    boolean allowed = !call.mayHaveRun || call.kind.idempotency() != Idempotency.NOT_IDEMPOTENT;
     // What no worker knows may be nonsense: it is tried once more, and leaves others their budget.
-    boolean known = last != Code.ERROR || call.function.servedAt > 0 || call.sent < 2;
+    boolean known = last != OutcomeCode.ERROR || call.function.servedAt > 0 || call.sent < 2;
     boolean time =
         known && call.deadline - now > unit(call) && call.sent < settings.limits().maxAttempts();
     if (allowed && time && retries >= 1) {
       // One that never arrived has cost the workers nothing.
-      retries -= last == Code.CONNECT_FAILED ? 0.25 : 1;
+      retries -= last == OutcomeCode.CONNECT_FAILED ? 0.25 : 1;
       place(call);
     } else {
       finish(call);
@@ -721,8 +733,10 @@
    */
   private void finish(PendingCall call) {
     boolean proved = !call.mayHaveRun && call.outstanding == 0;
-    boolean dropped = call.kind.effect() == Effect.KEYED && call.kind.group() == Group.ALL;
-    if (proved || call.kind.effect() == Effect.SAFE || dropped) {
+    boolean dropped =
+        call.kind.idempotency() == Idempotency.DEDUPLICATED
+            && call.kind.dedupScope() == DedupScope.ALL;
+    if (proved || call.kind.idempotency() == Idempotency.IDEMPOTENT || dropped) {
       refuse(call);
     } else {
       act(new Fail(call.event.id()));
@@ -731,7 +745,7 @@
   }
 
   private void refuse(PendingCall call) {
-    long most = settings.limits().retryAfter() ? settings.limits().maxRetryAfter() : 0;
+    long most = settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
     act(new Refuse(call.event.id(), (long) (random.nextDouble() * most)));
     close(call);
   }
@@ -753,15 +767,16 @@
    * it is heard again.
    */
   private boolean mayOrder(Worker w) {
-    Loads l = settings.loads();
-    prune(callTimes, now - l.window());
-    prune(orderTimes, now - l.window() - settings.limits().connectTimeout() - TICK);
-    return l.mayOrder()
-        && w.state == State.READY
+    LoadPolicy l = settings.loadPolicy();
+    prune(callTimes, now - l.preloadWindow());
+    prune(orderTimes, now - l.preloadWindow() - settings.limits().connectTimeout() - TICK);
+    return l.mayPreload()
+        && w.state == WorkerState.READY
         && !w.benched
         && w.lostAt <= w.wellAt
         && !turnsAway(w)
-        && (l.window() <= 0 || orderTimes.size() + 1 <= l.free() + l.perCall() * callTimes.size());
+        && (l.preloadWindow() <= 0
+            || orderTimes.size() + 1 <= l.freePreloads() + l.preloadsPerCall() * callTimes.size());
   }
 
   /**
@@ -770,18 +785,19 @@
    * never would stand.
    */
   private void preload(Function f, PendingCall call) {
-    prune(callTimes, now - Math.max(SECOND, settings.loads().window()));
+    prune(callTimes, now - Math.max(SECOND, settings.loadPolicy().preloadWindow()));
     int homes = homes(f);
     boolean inUse = siblings * recent(f) >= ORDER_CALLS; // one of many front ends sees few
     boolean unserved = shed == 0 && inUse && now - f.servedAt > keep();
     // All front ends want the same further homes: most orders would find a copy that another had
     // loaded.
     boolean turn = homes > 1 && random.nextDouble() * divisor < ORDERS_EACH;
-    for (int i = 0; i < ready.length && settings.loads().mayOrder(); i++) {
+    for (int i = 0; i < ready.length && settings.loadPolicy().mayPreload(); i++) {
       Worker w = ready[i];
       Copy copy = w.copies.get(f.id);
       boolean hopeless = unserved && held.contains(call) && outlasts(call, w);
-      boolean wanted = rank(f, w) < homes && (turn || hopeless || !settings.loads().loadsOnMiss());
+      boolean wanted =
+          rank(f, w) < homes && (turn || hopeless || !settings.loadPolicy().loadsOnMiss());
       boolean absent = copy == null || copy.readyAt == 0 && now - copy.seenAt > keep();
       if (wanted && absent && mayOrder(w)) {
         order(w, f, loadWait(call, w));
@@ -793,7 +809,7 @@
   private void order(Worker w, Function f, double wait) {
     orderTimes.add(now);
     w.copies.computeIfAbsent(f.id, id -> new Copy()).readyAt = now + (long) wait;
-    act(new Hold(w.id, f.id, 1));
+    act(new Preload(w.id, f.id, 1));
   }
 
   // ---------------------------------------------------------------- work that renews a permission
@@ -805,13 +821,13 @@
    * few of all front ends begin a load for it. The orders are spread over the span of the ration:
    * all at once they would leave none for those whose permission ends next.
    */
-  private void onExpiring(Expiring e) {
+  private void onExpiring(LeasesExpiring e) {
     List<Worker> urgent = new ArrayList<>();
     List<Worker> idle = new ArrayList<>();
     List<Worker> others = new ArrayList<>();
     for (int i = 0; i < e.workers().size(); i++) {
       Worker w = workers.get(e.workers().get(i));
-      if (w != null && w.state == State.READY) {
+      if (w != null && w.state == WorkerState.READY) {
         (now - w.wellAt > 2 * KEEP ? idle : i < e.urgent() ? urgent : others).add(w);
       }
     }
@@ -819,8 +835,9 @@
     expiring.addAll(urgent); // where not all can be kept, those in use are
     expiring.addAll(idle);
     expiring.addAll(others);
-    Loads l = settings.loads();
-    double apart = l.window() / Math.max(1, l.free() + l.perCall() * callTimes.size());
+    LoadPolicy l = settings.loadPolicy();
+    double apart =
+        l.preloadWindow() / Math.max(1, l.freePreloads() + l.preloadsPerCall() * callTimes.size());
     for (Worker w : expiring) {
       Function f = now - renewedAt >= apart && mayOrder(w) ? likely(w) : null;
       if (f != null) {
@@ -866,7 +883,9 @@
       }
       boolean loaded =
           belief(call.function, w) >= 0.5 && busyLanes(call.function, w) < call.function.lanes;
-      if (loaded || !settings.loads().mayOrder() && call.kind.effect() == Effect.SAFE) {
+      if (loaded
+          || !settings.loadPolicy().mayPreload()
+              && call.kind.idempotency() == Idempotency.IDEMPOTENT) {
         return w;
       }
     }
@@ -876,74 +895,79 @@
   // ---------------------------------------------------------------- health
 
   /** Draws on an outcome: the worker's pace and health, the copy, the function, the weights. */
-  private void judge(Worker w, Attempt a, Outcome e) {
+  private void judge(Worker w, Attempt a, AttemptOutcome e) {
     Function f = a.call.function;
-    if (e.code() == Code.OK) {
+    if (e.code() == OutcomeCode.OK) {
       w.wellAt = now;
       tookOn(w, a);
       hallLost[hall(w)] = false;
       meanWork += SLOW_MEAN * (a.unit - meanWork);
       boolean loaded =
-          e.note() == Note.WARM
-              || e.note() == Note.NONE && !a.cold && e.took() < a.expected + a.load / 2;
+          e.copyStatus() == CopyStatus.WARM
+              || e.copyStatus() == CopyStatus.NONE
+                  && !a.cold
+                  && e.elapsed() < a.expected + a.load / 2;
       if (loaded) {
-        w.pace += FAST_MEAN * (clamp(e.took() / a.unit, 0, 6) - w.pace);
-        f.work.add(e.took(), SLOW_MEAN);
-        classWork[a.call.event.callClass()].add(e.took(), SLOW_MEAN);
-        if (a.call.event.hint() > 0) {
+        w.pace += FAST_MEAN * (clamp(e.elapsed() / a.unit, 0, 6) - w.pace);
+        f.work.add(e.elapsed(), SLOW_MEAN);
+        classWork[a.call.event.callClass()].add(e.elapsed(), SLOW_MEAN);
+        if (a.call.event.expectedDuration() > 0) {
           classHint[a.call.event.callClass()].add(
-              e.took() / (double) a.call.event.hint(), SLOW_MEAN);
+              e.elapsed() / (double) a.call.event.expectedDuration(), SLOW_MEAN);
         }
-      } else if (e.note() == Note.BEGAN_LOAD || e.note() == Note.NONE && a.cold) {
-        double load = Math.max(0, e.took() - a.unit * w.pace);
+      } else if (e.copyStatus() == CopyStatus.BEGAN_LOAD
+          || e.copyStatus() == CopyStatus.NONE && a.cold) {
+        double load = Math.max(0, e.elapsed() - a.unit * w.pace);
         classLoad[a.call.event.callClass()] +=
             FAST_MEAN * (load - classLoad[a.call.event.callClass()]);
         if (f.loadTime > 0) {
           storeFactor += FAST_MEAN * (clamp(load / f.loadTime, 0.5, 4) - storeFactor);
         }
       }
-      noteLoad(a, e.took() - a.unit * w.pace < SLOW_LOAD * a.load);
+      noteLoad(a, e.elapsed() - a.unit * w.pace < SLOW_LOAD * a.load);
       served += cold(w) ? 0 : 1 / Math.max(w.size, warm);
       if (loaded) { // a wait for a load is no sign that the workers are short of cores
-        press(e.took() / (double) a.call.kind.aim());
+        press(e.elapsed() / (double) a.call.kind.latencyTarget());
       }
       a.copy.seenAt = now;
       a.copy.trust = 1;
       a.copy.readyAt = 0;
       w.fullWait[cell(a.call)] = 0;
-    } else if (e.code() == Code.TIMEOUT || e.code() == Code.CANCELLED) {
-      w.pace += FAST_MEAN * Math.max(0, clamp(e.took() / a.unit, 0, 6) - w.pace);
-    } else if (e.code() == Code.MISS || e.note() == Note.LOAD_FAILED) {
+    } else if (e.code() == OutcomeCode.TIMEOUT || e.code() == OutcomeCode.CANCELLED) {
+      w.pace += FAST_MEAN * Math.max(0, clamp(e.elapsed() / a.unit, 0, 6) - w.pace);
+    } else if (e.code() == OutcomeCode.MISS || e.copyStatus() == CopyStatus.LOAD_FAILED) {
       a.copy.seenAt = 0;
       a.copy.readyAt = 0;
       noteLoad(a, false);
-    } else if (e.code() == Code.FULL) {
+    } else if (e.code() == OutcomeCode.FULL) {
       turnedAwayBy(w, a);
-      watchForDrain(w, a, e.crowd());
+      watchForDrain(w, a, e.concurrency());
     }
-    if (e.crowd() >= 0 && settings.loads().crowdCounts()) { // else an absent count would be none
-      a.copy.others += 0.5 * (Math.max(0, e.crowd() - a.ownBefore) - a.copy.others);
+    if (e.concurrency() >= 0
+        && settings.loadPolicy().reportsConcurrency()) { // else an absent count would be none
+      a.copy.others += 0.5 * (Math.max(0, e.concurrency() - a.ownBefore) - a.copy.others);
       a.copy.crowdAt = now;
     }
-    boolean dead = e.code() == Code.CONNECT_FAILED || e.code() == Code.RESET;
+    boolean dead = e.code() == OutcomeCode.CONNECT_FAILED || e.code() == OutcomeCode.RESET;
     // An error for a function that nobody has served yet tells of the function, or of a client's
     // nonsense.
-    boolean error = e.code() == Code.ERROR && e.note() != Note.LOAD_FAILED && f.servedAt > 0;
-    boolean bad = dead || e.code() == Code.TIMEOUT || error;
-    f.servedAt = e.code() == Code.OK ? now : f.servedAt;
+    boolean error =
+        e.code() == OutcomeCode.ERROR && e.copyStatus() != CopyStatus.LOAD_FAILED && f.servedAt > 0;
+    boolean bad = dead || e.code() == OutcomeCode.TIMEOUT || error;
+    f.servedAt = e.code() == OutcomeCode.OK ? now : f.servedAt;
     if (bad) {
       // What one lost connection takes along counts once.
       w.bad +=
           a.missed > 0 && !dead || dead && now - w.diedAt < TICK
               ? 0
-              : (e.code() == Code.CONNECT_FAILED ? DEAD_STEP : BAD_STEP) * (1 - w.bad);
+              : (e.code() == OutcomeCode.CONNECT_FAILED ? DEAD_STEP : BAD_STEP) * (1 - w.bad);
       w.diedAt = dead ? now : w.diedAt;
       w.lostAt = error ? w.lostAt : now;
       if (w.benched) {
         w.trialWait = Math.min(TRIAL_WAIT_MOST, 2 * w.trialWait);
         w.trialAt = now + w.trialWait;
       }
-    } else if (e.code() == Code.OK) {
+    } else if (e.code() == OutcomeCode.OK) {
       w.bad *= w.benched ? 0.4 : 1 - BAD_STEP;
     }
     learn(a, e, bad);
@@ -1035,7 +1059,9 @@
   private void hedge(Attempt a) {
     PendingCall call = a.call;
     boolean allowed =
-        settings.limits().secondCopy() && call.kind.effect() != Effect.UNSAFE && shed == 0;
+        settings.limits().hedgingAllowed()
+            && call.kind.idempotency() != Idempotency.NOT_IDEMPOTENT
+            && shed == 0;
     if (!allowed || call.closed || call.outstanding != 1 || retries < 1) {
       return;
     }
@@ -1081,7 +1107,7 @@
    * tells the two apart.
    */
   private void watchForDrain(Worker w, Attempt a, int crowd) {
-    if (!settings.loads().crowdCounts() || crowd != 0) {
+    if (!settings.loadPolicy().reportsConcurrency() || crowd != 0) {
       w.turnedAway = 0;
       return;
     }
@@ -1133,7 +1159,8 @@
         w.bad += BAD_STEP * (1 - w.bad);
       }
       if (now - a.sentAt
-          > Math.max(OVERDUE * one * Math.max(1, w.pace), HEDGE_AIM * a.call.kind.aim())) {
+          > Math.max(
+              OVERDUE * one * Math.max(1, w.pace), HEDGE_AIM * a.call.kind.latencyTarget())) {
         late.add(a);
       }
     }
@@ -1142,7 +1169,7 @@
 
   /** A benched worker gets a safe call now and then, alone, to show that it is back. */
   private Worker trial(PendingCall call) {
-    if (call.kind.effect() != Effect.SAFE || call.sent > 0 || commonCause) {
+    if (call.kind.idempotency() != Idempotency.IDEMPOTENT || call.sent > 0 || commonCause) {
       return null;
     }
     for (Worker w : ready) {
@@ -1164,7 +1191,7 @@
    * first.
    */
   private boolean turnedAway(PendingCall call) {
-    meanAim += SLOW_MEAN * (call.kind.aim() - meanAim);
+    meanAim += SLOW_MEAN * (call.kind.latencyTarget() - meanAim);
     double value = worthOfWork(call);
     double below = 0;
     int n = Math.min(valueCount, VALUES);
@@ -1177,14 +1204,14 @@
   }
 
   private double worthOfWork(PendingCall call) {
-    double worth = call.kind.worth();
+    double worth = call.kind.value();
     if (!settings.tenants().isEmpty() && call.event.tenant() < tenantRate.length) {
       tenantRate[call.event.tenant()] += 1 / RATE_SPAN;
       double quota = settings.tenants().get(call.event.tenant()).quotaPerSecond() / divisor;
       boolean over = random.nextDouble() < 1 - quota / tenantRate[call.event.tenant()];
-      worth *= over ? settings.overShareWorth() : 1;
+      worth *= over ? settings.overShareValueFactor() : 1;
     }
-    return settings.worthByWork() ? worth : worth / unit(call);
+    return settings.valueByWork() ? worth : worth / unit(call);
   }
 
   private void press(double timeOverAim) {
@@ -1222,10 +1249,10 @@
   // ---------------------------------------------------------------- learning
 
   /** Payoff: minus the time in flight in parts of the time allowed; a failure costs all of it. */
-  private void learn(Attempt a, Outcome e, boolean bad) {
-    if (a.gradient != null && (e.code() == Code.OK || bad)) {
+  private void learn(Attempt a, AttemptOutcome e, boolean bad) {
+    if (a.gradient != null && (e.code() == OutcomeCode.OK || bad)) {
       double allowed = Math.max(1, a.call.deadline - a.sentAt);
-      a.payoff = bad ? -1 : -Math.min(1, e.took() / allowed);
+      a.payoff = bad ? -1 : -Math.min(1, e.elapsed() / allowed);
       batch.add(a);
     }
     if (batch.size() == BATCH) {
--- a/src/main/java/saddlestall/Dispatcher.java
+++ b/src/main/java/saddlestall/Dispatcher.java
@@ -9,8 +9,8 @@
  *
  * <p>The embedding front end calls {@link #handle} from one thread, with events in the order in
  * which they happened and a clock that never goes back, and carries out the actions in the order
- * given. It owes exactly one {@link Outcome} for each {@link Send} and one {@link Loaded} for each
- * {@link Hold}. All times are in microseconds; an absent number is 0.
+ * given. It owes exactly one {@link AttemptOutcome} for each {@link Send} and one {@link
+ * PreloadResult} for each {@link Preload}. All times are in microseconds; an absent number is 0.
  */
 public interface Dispatcher {
 
@@ -18,7 +18,7 @@
   void handle(long now, Event event, Consumer<Action> actions);
 
   /** Passes on what this module saw for itself, as others would be told of it. */
-  void recall(long now, Consumer<Known> facts);
+  void exportObservations(long now, Consumer<Observation> facts);
 
   // ---------------------------------------------------------------- settings
 
@@ -27,27 +27,27 @@
    * only.
    */
   record Settings(
-      int index,
-      int siblings,
+      int frontEndIndex,
+      int frontEndCount,
       int zone,
       List<CallClass> classes,
       List<Tenant> tenants,
-      double overShareWorth,
-      boolean worthByWork,
-      boolean listOnRequest,
+      double overShareValueFactor,
+      boolean valueByWork,
+      boolean subscribesToWorkerList,
       WeightKind weightKind,
       List<Double> kindMemoryMb,
       Limits limits,
       Rules rules,
-      Loads loads,
-      Report report,
+      LoadPolicy loadPolicy,
+      LoadReportFormat loadReportFormat,
       Costs costs) {
 
     /**
      * A worker's size against the others', as its rating or else its kind's memory tells it; 1
      * where neither does.
      */
-    double size(Member m) {
+    double relativeSize(WorkerEntry m) {
       double memory = 1;
       if (m.kind() < kindMemoryMb.size() && kindMemoryMb.get(m.kind()) > 0) {
         memory =
@@ -59,86 +59,94 @@
     }
   }
 
-  /** One class of calls. {@code group} and {@code dedupWindow} matter for keyed classes only. */
+  /**
+   * One class of calls. {@code dedupScope} and {@code dedupWindow} matter for keyed classes only.
+   */
   record CallClass(
-      long aim,
-      double aimStretch,
-      long giveUp,
-      Effect effect,
-      Group group,
+      long latencyTarget,
+      double latencyTargetStretch,
+      long timeout,
+      Idempotency idempotency,
+      DedupScope dedupScope,
       long dedupWindow,
-      double worth,
-      double lateWorth,
-      boolean stream) {}
+      double value,
+      double lateValue,
+      boolean streaming) {}
 
   /** A tenant's share: calls per second over all front ends. */
-  record Tenant(double fraction, double quotaPerSecond) {}
+  record Tenant(double share, double quotaPerSecond) {}
 
   /** What the site allows. */
   record Limits(
-      boolean cancel,
-      boolean secondCopy,
-      boolean probe,
-      boolean peers,
-      boolean retryAfter,
+      boolean cancelAllowed,
+      boolean hedgingAllowed,
+      boolean probeAllowed,
+      boolean peerMessagesAllowed,
+      boolean retryAfterAllowed,
       long maxRetryAfter,
       int maxAttempts,
       long connectTimeout) {}
 
   /**
-   * Figures of the rules; {@code coldFrom} is the share of its capacity that a cold worker starts
-   * with.
+   * Figures of the rules; {@code initialColdCapacity} is the share of its capacity that a cold
+   * worker starts with.
    */
   record Rules(
       long answerSlack,
-      long askEvery,
+      long probeInterval,
       long drainGrace,
-      long cold,
-      double coldFrom,
-      long fall,
-      double fallMultiple) {
+      long coldDuration,
+      double initialColdCapacity,
+      long overloadWindow,
+      double overloadMultiple) {
 
     /** Whether a worker that came up then may still fall over. */
     boolean isCold(long now, long cameUp) {
-      return cameUp > 0 && now - cameUp < cold && fallMultiple > 0;
+      return cameUp > 0 && now - cameUp < coldDuration && overloadMultiple > 0;
     }
 
     /** The part of its capacity that it has by now, at the least. */
-    double grown(long now, long cameUp) {
+    double warmUpFraction(long now, long cameUp) {
       return isCold(now, cameUp)
-          ? coldFrom + (1 - coldFrom) * Math.max(0, (now - cameUp) / (double) cold)
+          ? initialColdCapacity
+              + (1 - initialColdCapacity) * Math.max(0, (now - cameUp) / (double) coldDuration)
           : 1;
     }
   }
 
-  /** Loading of functions. {@code window} 0: orders to load are not rationed. */
-  record Loads(
+  /** Loading of functions. {@code preloadWindow} 0: orders to load are not rationed. */
+  record LoadPolicy(
       boolean loadsOnMiss,
-      boolean mayOrder,
-      long window,
-      double free,
-      double perCall,
-      long keep,
-      boolean warmNotes,
-      boolean crowdCounts,
-      double idlePrice) {}
+      boolean mayPreload,
+      long preloadWindow,
+      double freePreloads,
+      double preloadsPerCall,
+      long idleRetention,
+      boolean reportsCopyStatus,
+      boolean reportsConcurrency,
+      double idleCost) {}
 
   /** Which values load reports hold, by position, and how they come. */
-  record Report(Via via, List<Field> fields) {}
+  record LoadReportFormat(ReportDelivery delivery, List<ReportField> fields) {}
 
   /** Points of the result for each unit; used only to weigh what is optional. */
   record Costs(
-      double probe, double crossZone, double waste, double lateFail, double origin, double peer) {}
+      double probe,
+      double crossZone,
+      double waste,
+      double lateFailure,
+      double origin,
+      double peerMessage) {}
 
   /** What a repeat of a call may do: no harm, none under its key for a while, or harm. */
-  enum Effect {
-    SAFE,
-    KEYED,
-    UNSAFE
+  enum Idempotency {
+    IDEMPOTENT,
+    DEDUPLICATED,
+    NOT_IDEMPOTENT
   }
 
   /** Which workers drop a repeat of a keyed call. */
-  enum Group {
+  enum DedupScope {
     ALL,
     ZONE,
     CELL
@@ -153,14 +161,14 @@
   }
 
   /** How load reports come. */
-  enum Via {
+  enum ReportDelivery {
     ANSWERS,
     PROBES,
     NONE
   }
 
   /** What a value of a load report is. */
-  enum Field {
+  enum ReportField {
     OUTSTANDING,
     QUEUE,
     UTILIZATION,
@@ -176,22 +184,22 @@
 
   /** Something that has happened. */
   sealed interface Event
-      permits Members,
-          Call,
-          Started,
-          Outcome,
-          Left,
-          Due,
-          Loaded,
-          Heard,
-          Probed,
-          Known,
-          Siblings,
-          Wanted,
-          Expiring {}
+      permits WorkerListUpdate,
+          CallArrival,
+          StreamStarted,
+          AttemptOutcome,
+          ClientDisconnected,
+          TimerFired,
+          PreloadResult,
+          PeerMessage,
+          ProbeResult,
+          Observation,
+          FleetSizeUpdate,
+          CopyRequested,
+          LeasesExpiring {}
 
   /** News of the list of workers. */
-  record Members(ListKind kind, List<Member> members) implements Event {}
+  record WorkerListUpdate(ListKind kind, List<WorkerEntry> workers) implements Event {}
 
   /**
    * Changes of the list, the whole of it, the whole as it was last held, or a request for it that
@@ -204,53 +212,55 @@
     FAILED
   }
 
-  /** One line of the list. {@code cameUp} is the clock time of the last start, 0 for long past. */
-  record Member(
-      int worker, int zone, int kind, int cell, State state, double rating, long cameUp) {}
+  /**
+   * One line of the list. {@code startedAt} is the clock time of the last start, 0 for long past.
+   */
+  record WorkerEntry(
+      int worker, int zone, int kind, int cell, WorkerState state, double rating, long startedAt) {}
 
   /** What the list says of a worker; one that drains finishes its work and gets nothing new. */
-  enum State {
+  enum WorkerState {
     GONE,
     READY,
     DRAINING
   }
 
-  /** A client's call; it is owed exactly one final answer within {@code patience}. */
-  record Call(
+  /** A client's call; it is owed exactly one final answer within {@code budget}. */
+  record CallArrival(
       int id,
-      long patience,
-      long hint,
+      long budget,
+      long expectedDuration,
       long function,
       double lanes,
       double memoryMb,
       int callClass,
       int tenant,
-      boolean repeat,
+      boolean retry,
       boolean write,
       long loadTime)
       implements Event {}
 
   /** The streamed answer of an attempt has begun; from now on no deadline holds. */
-  record Started(int call, int attempt, int worker) implements Event {}
+  record StreamStarted(int call, int attempt, int worker) implements Event {}
 
   /**
-   * How an attempt ended. {@code closed}: the call needs no answer any more. {@code crowd} -1: not
-   * told.
+   * How an attempt ended. {@code callClosed}: the call needs no answer any more. {@code
+   * concurrency} -1: not told.
    */
-  record Outcome(
+  record AttemptOutcome(
       int call,
       int attempt,
       int worker,
-      Code code,
-      long took,
-      boolean closed,
-      Note note,
-      int crowd,
-      float[] report)
+      OutcomeCode code,
+      long elapsed,
+      boolean callClosed,
+      CopyStatus copyStatus,
+      int concurrency,
+      float[] loadReport)
       implements Event {}
 
   /** What an outcome told of the function's copy. */
-  enum Note {
+  enum CopyStatus {
     NONE,
     WARM,
     BEGAN_LOAD,
@@ -259,7 +269,7 @@
   }
 
   /** Outcome codes; {@code notRun}: proves that the attempt had no effect. */
-  enum Code {
+  enum OutcomeCode {
     OK(false),
     ERROR(false),
     FULL(true),
@@ -272,65 +282,70 @@
 
     public final boolean notRun;
 
-    Code(boolean notRun) {
+    OutcomeCode(boolean notRun) {
       this.notRun = notRun;
     }
   }
 
   /** The client has gone; nothing is owed any more. */
-  record Left(int call) implements Event {}
+  record ClientDisconnected(int call) implements Event {}
 
   /** A timer has run out. */
-  record Due(long token) implements Event {}
+  record TimerFired(long token) implements Event {}
 
-  /** The answer to a {@link Hold}. */
-  record Loaded(long took, int copies, int worker, Code code, long function) implements Event {}
+  /** The answer to a {@link Preload}. */
+  record PreloadResult(long elapsed, int copies, int worker, OutcomeCode code, long function)
+      implements Event {}
 
   /** Bytes from a peer. */
-  record Heard(int peer, byte[] bytes) implements Event {}
+  record PeerMessage(int peer, byte[] bytes) implements Event {}
 
   /** The answer to a {@link Probe}. */
-  record Probed(long took, int worker, Code code, float[] report) implements Event {}
+  record ProbeResult(long elapsed, int worker, OutcomeCode code, float[] loadReport)
+      implements Event {}
 
   /**
    * In the place of the settings' number of front ends from now on: how many there likely are, and
    * by how much what belongs to all of them is divided here, which is no less.
    */
-  record Siblings(double count, double divisor) implements Event {}
+  record FleetSizeUpdate(double count, double divisor) implements Event {}
 
   /** Others want a copy of a function at a worker, as the last one is about to go. */
-  record Wanted(int worker, long function) implements Event {}
+  record CopyRequested(int worker, long function) implements Event {}
 
   /**
    * The permission to send to these workers ends soon, as the source of the list is out of reach,
    * unless they take on work: a call or an order. The soonest first; for the first {@code urgent}
    * of them it is very soon.
    */
-  record Expiring(List<Integer> workers, int urgent) implements Event {}
+  record LeasesExpiring(List<Integer> workers, int urgent) implements Event {}
 
   /**
    * What another instance saw {@code age} ago; {@code weight}, up to 1, is what it is worth at that
    * age.
    */
-  sealed interface Known extends Event permits KnownCopy, KnownWorker, KnownFunction {}
+  sealed interface Observation extends Event
+      permits CopyObservation, WorkerObservation, FunctionObservation {}
 
   /** A copy of a function stood loaded at a worker. */
-  record KnownCopy(int worker, long function, long age, double weight) implements Known {}
+  record CopyObservation(int worker, long function, long age, double weight)
+      implements Observation {}
 
   /** How a worker did: its time over the usual, and its share of bad outcomes. */
-  record KnownWorker(int worker, double pace, double bad, long age, double weight)
-      implements Known {}
+  record WorkerObservation(
+      int worker, double latencyRatio, double failureRate, long age, double weight)
+      implements Observation {}
 
-  /** A function was served; {@code recent} calls of late, decaying. */
-  record KnownFunction(
+  /** A function was served; {@code recentCalls} calls of late, decaying. */
+  record FunctionObservation(
       long function,
       int callClass,
       double lanes,
       long loadTime,
-      double recent,
+      double recentCalls,
       long age,
       double weight)
-      implements Known {}
+      implements Observation {}
 
   // ---------------------------------------------------------------- actions
 
@@ -340,15 +355,15 @@
           Refuse,
           Fail,
           Cancel,
-          Timer,
+          StartTimer,
           Probe,
-          Tell,
+          SendToPeer,
           Log,
-          Watch,
-          Fetch,
-          Hold,
-          Drop,
-          Close {}
+          Subscribe,
+          FetchWorkerList,
+          Preload,
+          Unload,
+          CloseIdleConnections {}
 
   /** Starts an attempt; the attempts of a call are numbered from 0 in the order of their sends. */
   record Send(int call, int worker, long timeout) implements Action {}
@@ -363,32 +378,32 @@
   record Cancel(int call, int attempt) implements Action {}
 
   /**
-   * Asks for a {@link Due} after {@code delay}. A token of 0 or more names a call, and is void once
-   * that is over.
+   * Asks for a {@link TimerFired} after {@code delay}. A token of 0 or more names a call, and is
+   * void once that is over.
    */
-  record Timer(long delay, long token) implements Action {}
+  record StartTimer(long delay, long token) implements Action {}
 
   /** Asks a worker how it is. */
   record Probe(int worker) implements Action {}
 
   /** Sends bytes to one peer, or to all with -1. */
-  record Tell(int peer, byte[] bytes) implements Action {}
+  record SendToPeer(int peer, byte[] bytes) implements Action {}
 
   /** A line for the operators. */
   record Log(String text) implements Action {}
 
   /** Asks to be told of changes of the list. */
-  record Watch(boolean on) implements Action {}
+  record Subscribe(boolean on) implements Action {}
 
   /** Asks for the whole list once. */
-  record Fetch() implements Action {}
+  record FetchWorkerList() implements Action {}
 
   /** Orders at least {@code copies} loaded copies of a function. */
-  record Hold(int worker, long function, int copies) implements Action {}
+  record Preload(int worker, long function, int copies) implements Action {}
 
   /** Unloads a function's idle copies. */
-  record Drop(int worker, long function) implements Action {}
+  record Unload(int worker, long function) implements Action {}
 
   /** Closes idle connections. */
-  record Close(int worker) implements Action {}
+  record CloseIdleConnections(int worker) implements Action {}
 }
--- a/src/main/java/saddlestall/DispatcherState.java
+++ b/src/main/java/saddlestall/DispatcherState.java
@@ -10,18 +10,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import saddlestall.Dispatcher.Call;
+import saddlestall.Dispatcher.CallArrival;
 import saddlestall.Dispatcher.CallClass;
-import saddlestall.Dispatcher.Known;
-import saddlestall.Dispatcher.KnownCopy;
-import saddlestall.Dispatcher.KnownFunction;
-import saddlestall.Dispatcher.KnownWorker;
-import saddlestall.Dispatcher.Member;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.CopyObservation;
+import saddlestall.Dispatcher.FunctionObservation;
+import saddlestall.Dispatcher.Observation;
+import saddlestall.Dispatcher.WorkerEntry;
+import saddlestall.Dispatcher.WorkerObservation;
+import saddlestall.Dispatcher.WorkerState;
 
 /**
- * What one front end remembers: fields, written and read by {@link AdaptiveDispatcher}, which decides what they
- * mean.
+ * What one front end remembers: fields, written and read by {@link AdaptiveDispatcher}, which
+ * decides what they mean.
  */
 abstract class DispatcherState {
   /** Halls told apart; further ones share a place. */
@@ -156,7 +156,7 @@
   }
 
   /** Takes the ready workers and makes room for a draw among them. */
-  void listed(List<Worker> list) {
+  void setReadyWorkers(List<Worker> list) {
     ready = list.toArray(new Worker[0]);
     listVersion++;
     if (rows.length < ready.length) {
@@ -188,14 +188,14 @@
    * What was seen here, as others would be told of it; hearsay is left out, as it is others' to
    * tell.
    */
-  public void recall(long now, Consumer<Known> facts) {
+  public void exportObservations(long now, Consumer<Observation> facts) {
     for (Worker w : workers.values()) {
-      if (w.state == State.READY) {
-        facts.accept(new KnownWorker(w.id, w.pace, w.bad, 0, 1));
+      if (w.state == WorkerState.READY) {
+        facts.accept(new WorkerObservation(w.id, w.pace, w.bad, 0, 1));
         w.copies.forEach(
             (function, c) -> {
               if (c.seenAt > 0 && c.trust == 1) {
-                facts.accept(new KnownCopy(w.id, function, now - c.seenAt, 1));
+                facts.accept(new CopyObservation(w.id, function, now - c.seenAt, 1));
               }
             });
       }
@@ -203,7 +203,7 @@
     for (Function f : functions.values()) {
       if (f.servedAt > 0) {
         facts.accept(
-            new KnownFunction(
+            new FunctionObservation(
                 f.id, f.callClass, f.lanes, (long) f.loadTime, f.recent, now - f.lastAt, 1));
       }
     }
@@ -212,41 +212,41 @@
   /**
    * Takes in hearsay, a prior belief: it holds where nothing was seen here, and until something is.
    */
-  void believe(Known known, long now) {
-    if (known instanceof KnownCopy e) {
+  void applyObservation(Observation known, long now) {
+    if (known instanceof CopyObservation e) {
       Worker w = workers.get(e.worker());
-      if (w != null && w.state == State.READY && now - e.age() > w.cameUp) {
+      if (w != null && w.state == WorkerState.READY && now - e.age() > w.cameUp) {
         Copy c = w.copies.computeIfAbsent(e.function(), id -> new Copy());
         if (c.seenAt == 0 && c.inFlight == 0 && c.readyAt == 0) {
           c.seenAt = now - e.age();
           c.trust = clamp(e.weight(), 0, 0.99);
         }
       }
-    } else if (known instanceof KnownWorker e) {
+    } else if (known instanceof WorkerObservation e) {
       Worker w = workers.get(e.worker());
       boolean fresh = w != null && w.pace == 1 && w.bad == 0 && w.out.isEmpty();
       if (w == null
-          || w.state != State.READY
+          || w.state != WorkerState.READY
           || !fresh && now - e.age() <= Math.max(w.wellAt, w.lostAt)) {
         return; // what was seen here later wins
       }
-      boolean back = w.toldBad && e.bad() < 0.5;
-      w.toldBad = e.bad() >= 0.5;
+      boolean back = w.toldBad && e.failureRate() < 0.5;
+      w.toldBad = e.failureRate() >= 0.5;
       if (w.benched) { // whether it is back is asked by one for all: here a call tries it once it
         // answers, and not before
         w.trialAt = back ? now : w.toldBad ? Math.max(w.trialAt, now + TOLD_WAIT) : w.trialAt;
         hallTrialAt[hall(w)] = back ? now : hallTrialAt[hall(w)];
       } else if (fresh || w.toldBad) {
         w.trialAt = w.toldBad ? now + TOLD_WAIT : w.trialAt;
-        w.bad = Math.max(w.bad, e.weight() * clamp(e.bad(), 0, 1));
+        w.bad = Math.max(w.bad, e.weight() * clamp(e.failureRate(), 0, 1));
       }
-      if (fresh || e.pace() > 1) {
+      if (fresh || e.latencyRatio() > 1) {
         w.pace =
-            fresh || e.pace() > w.pace
-                ? w.pace + e.weight() * (clamp(e.pace(), 0.2, 6) - w.pace)
+            fresh || e.latencyRatio() > w.pace
+                ? w.pace + e.weight() * (clamp(e.latencyRatio(), 0.2, 6) - w.pace)
                 : w.pace;
       }
-    } else if (known instanceof KnownFunction e
+    } else if (known instanceof FunctionObservation e
         && e.callClass() >= 0
         && e.callClass() < classWork.length) {
       Function f = functions.computeIfAbsent(e.function(), Function::new);
@@ -254,7 +254,7 @@
         f.callClass = e.callClass();
         f.lanes = clamp(e.lanes(), 1, 64);
         f.loadTime = Math.max(0, e.loadTime());
-        f.recent = e.weight() * Math.max(0, e.recent());
+        f.recent = e.weight() * Math.max(0, e.recentCalls());
         heardOf += f.recent;
         f.lastAt = now - e.age();
         f.servedAt = f.lastAt;
@@ -336,7 +336,7 @@
     final int id;
     final Map<Long, Attempt> out = new LinkedHashMap<>();
     final Map<Long, Copy> copies = new LinkedHashMap<>();
-    State state = State.GONE;
+    WorkerState state = WorkerState.GONE;
     boolean listed;
     int place;
 
@@ -398,18 +398,18 @@
       this.id = id;
     }
 
-    void told(Member m, double newSize) {
+    void told(WorkerEntry m, double newSize) {
       state = m.state();
       zone = m.zone();
       cell = m.cell();
-      cameUp = m.cameUp();
+      cameUp = m.startedAt();
       size = newSize;
     }
   }
 
   /** A call that is owed an answer. */
   static final class PendingCall {
-    final Call event;
+    final CallArrival event;
     final CallClass kind;
     final long takenAt;
     final long deadline;
@@ -435,12 +435,12 @@
 
     double[] mean;
 
-    PendingCall(Call event, CallClass kind, Function function, long now) {
+    PendingCall(CallArrival event, CallClass kind, Function function, long now) {
       this.event = event;
       this.kind = kind;
       this.function = function;
       takenAt = now;
-      deadline = now + Math.max(0, event.patience());
+      deadline = now + Math.max(0, event.budget());
     }
 
     /** Takes down the first attempt that may have had its effect. */
--- a/src/main/java/saddlestall/SettingsValidator.java
+++ b/src/main/java/saddlestall/SettingsValidator.java
@@ -10,11 +10,11 @@
   static void check(Settings s) {
     require(!s.classes().isEmpty(), "classes");
     for (CallClass c : s.classes()) {
-      require(c.aim() > 0, "classes.aim");
-      require(c.giveUp() > 0, "classes.giveUp");
-      require(c.worth() >= 0, "classes.worth");
+      require(c.latencyTarget() > 0, "classes.aim");
+      require(c.timeout() > 0, "classes.giveUp");
+      require(c.value() >= 0, "classes.worth");
     }
-    require(s.siblings() > 0, "siblings");
+    require(s.frontEndCount() > 0, "siblings");
     require(s.limits().maxAttempts() > 0, "limits.maxAttempts");
   }
 
--- a/src/main/java/saddlestall/benchlink/BatchLoop.java
+++ b/src/main/java/saddlestall/benchlink/BatchLoop.java
@@ -47,7 +47,8 @@
 
   @Override
   public void spawn(long seed, String settings) {
-    instances.put(selected, new AdaptiveDispatcher(SettingsJson.read(settings), seed, now, actions));
+    instances.put(
+        selected, new AdaptiveDispatcher(SettingsJson.read(settings), seed, now, actions));
   }
 
   @Override
--- a/src/main/java/saddlestall/benchlink/FrameCodec.java
+++ b/src/main/java/saddlestall/benchlink/FrameCodec.java
@@ -10,34 +10,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import saddlestall.Dispatcher.Action;
-import saddlestall.Dispatcher.Call;
+import saddlestall.Dispatcher.AttemptOutcome;
+import saddlestall.Dispatcher.CallArrival;
 import saddlestall.Dispatcher.Cancel;
-import saddlestall.Dispatcher.Close;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.Drop;
-import saddlestall.Dispatcher.Due;
+import saddlestall.Dispatcher.ClientDisconnected;
+import saddlestall.Dispatcher.CloseIdleConnections;
+import saddlestall.Dispatcher.CopyStatus;
 import saddlestall.Dispatcher.Event;
 import saddlestall.Dispatcher.Fail;
-import saddlestall.Dispatcher.Fetch;
-import saddlestall.Dispatcher.Heard;
-import saddlestall.Dispatcher.Hold;
-import saddlestall.Dispatcher.Left;
+import saddlestall.Dispatcher.FetchWorkerList;
 import saddlestall.Dispatcher.ListKind;
-import saddlestall.Dispatcher.Loaded;
 import saddlestall.Dispatcher.Log;
-import saddlestall.Dispatcher.Member;
-import saddlestall.Dispatcher.Members;
-import saddlestall.Dispatcher.Note;
-import saddlestall.Dispatcher.Outcome;
+import saddlestall.Dispatcher.OutcomeCode;
+import saddlestall.Dispatcher.PeerMessage;
+import saddlestall.Dispatcher.Preload;
+import saddlestall.Dispatcher.PreloadResult;
 import saddlestall.Dispatcher.Probe;
-import saddlestall.Dispatcher.Probed;
+import saddlestall.Dispatcher.ProbeResult;
 import saddlestall.Dispatcher.Refuse;
 import saddlestall.Dispatcher.Send;
-import saddlestall.Dispatcher.Started;
-import saddlestall.Dispatcher.State;
-import saddlestall.Dispatcher.Tell;
-import saddlestall.Dispatcher.Timer;
-import saddlestall.Dispatcher.Watch;
+import saddlestall.Dispatcher.SendToPeer;
+import saddlestall.Dispatcher.StartTimer;
+import saddlestall.Dispatcher.StreamStarted;
+import saddlestall.Dispatcher.Subscribe;
+import saddlestall.Dispatcher.TimerFired;
+import saddlestall.Dispatcher.Unload;
+import saddlestall.Dispatcher.WorkerEntry;
+import saddlestall.Dispatcher.WorkerListUpdate;
+import saddlestall.Dispatcher.WorkerState;
 
 /** The frames of the wire: big-endian records with one tail each. Translates, decides nothing. */
 final class FrameCodec {
@@ -68,7 +68,7 @@
     void event(Event event);
   }
 
-  private final List<List<Member>> tables = new ArrayList<>();
+  private final List<List<WorkerEntry>> tables = new ArrayList<>();
 
   FrameCodec() {
     for (int i = 0; i < TABLES; i++) {
@@ -129,22 +129,23 @@
       case 12 -> tables.set(table(b.getShort(at + 1)), members(b, at + 3, tail));
       case 2 -> sink.event(membersEvent(b, at));
       case 3 -> sink.event(call(b, at));
-      case 4 -> sink.event(new Started(b.getInt(at + 1), b.get(at + 5) & 255, b.getInt(at + 6)));
+      case 4 ->
+          sink.event(new StreamStarted(b.getInt(at + 1), b.get(at + 5) & 255, b.getInt(at + 6)));
       case 5 -> sink.event(outcome(b, at));
-      case 6 -> sink.event(new Left(b.getInt(at + 1)));
-      case 7 -> sink.event(new Due(b.getLong(at + 1)));
+      case 6 -> sink.event(new ClientDisconnected(b.getInt(at + 1)));
+      case 7 -> sink.event(new TimerFired(b.getLong(at + 1)));
       case 8 ->
           sink.event(
-              new Probed(
+              new ProbeResult(
                   micros(b.getDouble(at + 1)),
                   b.getInt(at + 9),
                   code(b.get(at + 13)),
                   report(b, at + 14)));
-      case 9 -> sink.event(new Heard(b.getInt(at + 1), bytes(b, at + 5, tail, 1)));
+      case 9 -> sink.event(new PeerMessage(b.getInt(at + 1), bytes(b, at + 5, tail, 1)));
       case 10 -> sink.killed();
       case 11 ->
           sink.event(
-              new Loaded(
+              new PreloadResult(
                   micros(b.getDouble(at + 1)),
                   b.get(at + 9) & 255,
                   b.getInt(at + 10),
@@ -154,13 +155,13 @@
     }
   }
 
-  private Members membersEvent(ByteBuffer b, int at) throws BadFrame {
+  private WorkerListUpdate membersEvent(ByteBuffer b, int at) throws BadFrame {
     int how = b.get(at + 1);
     if (how < 0 || how >= ListKind.values().length) {
       throw new BadFrame("unknown kind of list " + how);
     }
     ListKind kind = ListKind.values()[how];
-    return new Members(
+    return new WorkerListUpdate(
         kind, kind == ListKind.FAILED ? List.of() : tables.get(table(b.getShort(at + 10))));
   }
 
@@ -171,19 +172,19 @@
     return number;
   }
 
-  private static List<Member> members(ByteBuffer b, int field, int tail) throws BadFrame {
+  private static List<WorkerEntry> members(ByteBuffer b, int field, int tail) throws BadFrame {
     byte[] raw = bytes(b, field, tail, MEMBER_BYTES);
     ByteBuffer m = ByteBuffer.wrap(raw);
-    List<Member> list = new ArrayList<>();
+    List<WorkerEntry> list = new ArrayList<>();
     for (int at = 0; at < raw.length; at += MEMBER_BYTES) {
-      State state =
+      WorkerState state =
           switch (m.get(at + 2)) {
-            case 1 -> State.READY;
-            case 2 -> State.DRAINING;
-            default -> State.GONE;
+            case 1 -> WorkerState.READY;
+            case 2 -> WorkerState.DRAINING;
+            default -> WorkerState.GONE;
           };
       list.add(
-          new Member(
+          new WorkerEntry(
               m.getInt(at + 19),
               m.getShort(at) & 0xffff,
               m.getShort(at + 15) & 0xffff,
@@ -195,9 +196,9 @@
     return List.copyOf(list);
   }
 
-  private static Call call(ByteBuffer b, int at) {
+  private static CallArrival call(ByteBuffer b, int at) {
     int bits = b.get(at + 40);
-    return new Call(
+    return new CallArrival(
         b.getInt(at + 1),
         micros(b.getDouble(at + 5)),
         (bits & 1) != 0 ? micros(b.getDouble(at + 13)) : 0,
@@ -211,35 +212,35 @@
         micros(b.getFloat(at + 41)));
   }
 
-  private static Outcome outcome(ByteBuffer b, int at) {
-    Code code = code(b.get(at + 10));
+  private static AttemptOutcome outcome(ByteBuffer b, int at) {
+    OutcomeCode code = code(b.get(at + 10));
     int remark = b.getInt(at + 20);
     int note = remark & 7;
-    boolean counted = code == Code.OK || code == Code.FULL;
-    return new Outcome(
+    boolean counted = code == OutcomeCode.OK || code == OutcomeCode.FULL;
+    return new AttemptOutcome(
         b.getInt(at + 1),
         b.get(at + 5) & 255,
         b.getInt(at + 6),
         code,
         micros(b.getDouble(at + 11)),
         b.get(at + 19) != 0,
-        note < Note.values().length ? Note.values()[note] : Note.NONE,
+        note < CopyStatus.values().length ? CopyStatus.values()[note] : CopyStatus.NONE,
         counted ? remark >> 3 : -1,
         report(b, at + 24));
   }
 
   /** An unknown outcome proves nothing, as an error does. */
-  private static Code code(byte code) {
+  private static OutcomeCode code(byte code) {
     return switch (code & 255) {
-      case 0 -> Code.OK;
-      case 2 -> Code.MISS;
-      case 11 -> Code.FULL;
-      case 104 -> Code.RESET;
-      case 110 -> Code.TIMEOUT;
-      case 111 -> Code.CONNECT_FAILED;
-      case 114 -> Code.MOOT;
-      case 125 -> Code.CANCELLED;
-      default -> Code.ERROR;
+      case 0 -> OutcomeCode.OK;
+      case 2 -> OutcomeCode.MISS;
+      case 11 -> OutcomeCode.FULL;
+      case 104 -> OutcomeCode.RESET;
+      case 110 -> OutcomeCode.TIMEOUT;
+      case 111 -> OutcomeCode.CONNECT_FAILED;
+      case 114 -> OutcomeCode.MOOT;
+      case 125 -> OutcomeCode.CANCELLED;
+      default -> OutcomeCode.ERROR;
     };
   }
 
@@ -300,25 +301,25 @@
         start(3).putInt(a.call());
       } else if (action instanceof Cancel a) {
         start(4).putInt(a.call()).put((byte) a.attempt());
-      } else if (action instanceof Timer a) {
+      } else if (action instanceof StartTimer a) {
         start(5).putDouble(millis(a.delay())).putLong(a.token());
       } else if (action instanceof Probe a) {
         start(6).putInt(a.worker());
-      } else if (action instanceof Close a) {
+      } else if (action instanceof CloseIdleConnections a) {
         start(7).putInt(a.worker());
-      } else if (action instanceof Tell a) {
+      } else if (action instanceof SendToPeer a) {
         start(8).putInt(a.peer());
         text(a.bytes());
       } else if (action instanceof Log a) {
         start(9);
         text(a.text().getBytes(StandardCharsets.UTF_8));
-      } else if (action instanceof Watch a) {
+      } else if (action instanceof Subscribe a) {
         start(11).put((byte) (a.on() ? 1 : 0));
-      } else if (action instanceof Fetch) {
+      } else if (action instanceof FetchWorkerList) {
         start(12);
-      } else if (action instanceof Hold a) {
+      } else if (action instanceof Preload a) {
         start(13).putInt(a.worker()).putLong(a.function()).put((byte) a.copies());
-      } else if (action instanceof Drop a) {
+      } else if (action instanceof Unload a) {
         start(14).putInt(a.worker()).putLong(a.function());
       }
       finish();
--- a/src/main/java/saddlestall/benchlink/SettingsJson.java
+++ b/src/main/java/saddlestall/benchlink/SettingsJson.java
@@ -8,16 +8,16 @@
 import java.util.List;
 import saddlestall.Dispatcher.CallClass;
 import saddlestall.Dispatcher.Costs;
-import saddlestall.Dispatcher.Effect;
-import saddlestall.Dispatcher.Field;
-import saddlestall.Dispatcher.Group;
+import saddlestall.Dispatcher.DedupScope;
+import saddlestall.Dispatcher.Idempotency;
 import saddlestall.Dispatcher.Limits;
-import saddlestall.Dispatcher.Loads;
-import saddlestall.Dispatcher.Report;
+import saddlestall.Dispatcher.LoadPolicy;
+import saddlestall.Dispatcher.LoadReportFormat;
+import saddlestall.Dispatcher.ReportDelivery;
+import saddlestall.Dispatcher.ReportField;
 import saddlestall.Dispatcher.Rules;
 import saddlestall.Dispatcher.Settings;
 import saddlestall.Dispatcher.Tenant;
-import saddlestall.Dispatcher.Via;
 import saddlestall.Dispatcher.WeightKind;
 
 /** Reads an instance's settings from the JSON of its start message. Unknown keys are skipped. */
@@ -59,17 +59,17 @@
   }
 
   private static CallClass callClass(JsonObject c) {
-    Effect effect =
+    Idempotency effect =
         switch (text(c, "Idempotency")) {
-          case "idempotent" -> Effect.SAFE;
-          case "deduplicated" -> Effect.KEYED;
-          default -> Effect.UNSAFE; // an unknown word gets the strictest reading
+          case "idempotent" -> Idempotency.IDEMPOTENT;
+          case "deduplicated" -> Idempotency.DEDUPLICATED;
+          default -> Idempotency.NOT_IDEMPOTENT; // an unknown word gets the strictest reading
         };
-    Group group =
+    DedupScope group =
         switch (text(c, "Group")) {
-          case "all" -> Group.ALL;
-          case "zone" -> Group.ZONE;
-          default -> Group.CELL;
+          case "all" -> DedupScope.ALL;
+          case "zone" -> DedupScope.ZONE;
+          default -> DedupScope.CELL;
         };
     return new CallClass(
         micros(c, "Aim"),
@@ -106,8 +106,8 @@
         number(r, "FallMultiple"));
   }
 
-  private static Loads loads(JsonObject f) {
-    return new Loads(
+  private static LoadPolicy loads(JsonObject f) {
+    return new LoadPolicy(
         !text(f, "MissMode").equals("miss"),
         flag(f, "MayLoad"),
         micros(f, "LoadsWithin"),
@@ -119,29 +119,29 @@
         number(f, "IdlePrice"));
   }
 
-  private static Report report(JsonObject r) {
-    List<Field> fields = new ArrayList<>();
+  private static LoadReportFormat report(JsonObject r) {
+    List<ReportField> fields = new ArrayList<>();
     for (JsonElement e : array(r, "Fields")) {
       fields.add(
           switch (e.getAsString()) {
-            case "outstanding" -> Field.OUTSTANDING;
-            case "backlog" -> Field.QUEUE;
-            case "utilization" -> Field.UTILIZATION;
-            case "recent_ms" -> Field.RECENT_MS;
-            case "throughput" -> Field.THROUGHPUT;
-            case "errors_per_s" -> Field.ERRORS;
-            case "x0" -> Field.PINNED_MEMORY;
-            case "x1" -> Field.LOADS;
-            default -> Field.OTHER;
+            case "outstanding" -> ReportField.OUTSTANDING;
+            case "backlog" -> ReportField.QUEUE;
+            case "utilization" -> ReportField.UTILIZATION;
+            case "recent_ms" -> ReportField.RECENT_MS;
+            case "throughput" -> ReportField.THROUGHPUT;
+            case "errors_per_s" -> ReportField.ERRORS;
+            case "x0" -> ReportField.PINNED_MEMORY;
+            case "x1" -> ReportField.LOADS;
+            default -> ReportField.OTHER;
           });
     }
-    Via via =
+    ReportDelivery via =
         switch (text(r, "Via")) {
-          case "piggyback" -> Via.ANSWERS;
-          case "pull" -> Via.PROBES;
-          default -> Via.NONE;
+          case "piggyback" -> ReportDelivery.ANSWERS;
+          case "pull" -> ReportDelivery.PROBES;
+          default -> ReportDelivery.NONE;
         };
-    return new Report(via, List.copyOf(fields));
+    return new LoadReportFormat(via, List.copyOf(fields));
   }
 
   private static Costs costs(JsonObject c) {
--- a/src/main/java/umberrun/FleetAssembly.java
+++ b/src/main/java/umberrun/FleetAssembly.java
@@ -10,12 +10,12 @@
 import umberrun.config.Config;
 import umberrun.config.OperatorFile;
 import umberrun.core.Clock;
-import umberrun.core.Lifecycle;
 import umberrun.core.DispatchLoop;
+import umberrun.core.Lifecycle;
 import umberrun.fleet.net.FleetManager;
 import umberrun.lease.net.LeaseManager;
-import umberrun.workerlist.ConsulSource;
 import umberrun.stats.Counters;
+import umberrun.workerlist.ConsulSource;
 import umberrun.works.net.WorksManager;
 
 /**
@@ -59,7 +59,7 @@
                 hall,
                 file.learning() == null ? "" : file.learning().listen().toString(),
                 config.door() == null ? "" : config.door().toString(),
-                config.settings().siblings(),
+                config.settings().frontEndCount(),
                 config.seed()),
             duty::state,
             log);
--- a/src/main/java/umberrun/Server.java
+++ b/src/main/java/umberrun/Server.java
@@ -25,21 +25,21 @@
 import umberrun.config.Config.BadConfig;
 import umberrun.config.OperatorFile;
 import umberrun.core.Clock;
-import umberrun.core.Lifecycle;
-import umberrun.core.InvocationRegistry;
 import umberrun.core.DispatchLoop;
+import umberrun.core.InvocationRegistry;
+import umberrun.core.Lifecycle;
 import umberrun.front.invoke.InvokeServer;
 import umberrun.front.rpc.RpcServer;
 import umberrun.handover.Handover;
 import umberrun.learning.net.FactClient;
 import umberrun.learning.net.FactServer;
 import umberrun.ops.OperatorServer;
-import umberrun.workerlist.ChangeLogSource;
-import umberrun.workerlist.ConsulSource;
-import umberrun.workerlist.WorkerListSource;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 import umberrun.worker.WorkerPool;
+import umberrun.workerlist.ChangeLogSource;
+import umberrun.workerlist.ConsulSource;
+import umberrun.workerlist.WorkerListSource;
 
 /** Puts the parts of one front end together, on one event loop, and takes them apart on SIGTERM. */
 final class Server {
@@ -112,7 +112,8 @@
     this.changeLogAddress = config.changelog();
     this.shared = shared;
     this.duty =
-        new Lifecycle(config.settings().classes().stream().mapToLong(CallClass::giveUp).max().orElse(0));
+        new Lifecycle(
+            config.settings().classes().stream().mapToLong(CallClass::timeout).max().orElse(0));
     // One core: one event loop, and next to no threads beside it. Nothing is read from the class
     // path or cached.
     this.vertx =
@@ -299,13 +300,15 @@
             counters,
             config.settings(),
             Server::log,
-            actions -> new AdaptiveDispatcher(config.settings(), config.seed(), clock.now(), actions),
+            actions ->
+                new AdaptiveDispatcher(config.settings(), config.seed(), clock.now(), actions),
             o ->
                 new WorkerPool(
                     vertx, clock, counters, config.settings(), config.names(), account, o));
     OperatorFile file = config.file();
     if (changeLogAddress != null && (file == null || !file.listsWorkers())) {
-      changeLog = new ChangeLogSource(vertx, changeLogAddress, owner, clock, config.names(), counters);
+      changeLog =
+          new ChangeLogSource(vertx, changeLogAddress, owner, clock, config.names(), counters);
       owner.discovery().follow(startedAt);
       changeLog.known(config.known());
       rolls.add(changeLog);
@@ -355,8 +358,7 @@
             v ->
                 rpc.privately(
                     config.listen().host(),
-                    address ->
-                        WarmUp.sockets(vertx, address, WarmUp.turns(config.settings()))))
+                    address -> WarmUp.sockets(vertx, address, WarmUp.turns(config.settings()))))
         .compose(
             v -> {
               rolls.forEach(WorkerListSource::start);
--- a/src/main/java/umberrun/WarmUp.java
+++ b/src/main/java/umberrun/WarmUp.java
@@ -12,18 +12,18 @@
 import java.util.Random;
 import saddlestall.AdaptiveDispatcher;
 import saddlestall.Dispatcher.Action;
-import saddlestall.Dispatcher.Call;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.Due;
+import saddlestall.Dispatcher.AttemptOutcome;
+import saddlestall.Dispatcher.CallArrival;
+import saddlestall.Dispatcher.CopyStatus;
 import saddlestall.Dispatcher.ListKind;
-import saddlestall.Dispatcher.Member;
-import saddlestall.Dispatcher.Members;
-import saddlestall.Dispatcher.Note;
-import saddlestall.Dispatcher.Outcome;
+import saddlestall.Dispatcher.OutcomeCode;
 import saddlestall.Dispatcher.Send;
 import saddlestall.Dispatcher.Settings;
-import saddlestall.Dispatcher.State;
 import saddlestall.Dispatcher.Tenant;
+import saddlestall.Dispatcher.TimerFired;
+import saddlestall.Dispatcher.WorkerEntry;
+import saddlestall.Dispatcher.WorkerListUpdate;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.front.rpc.RpcServer;
 import umberrun.worker.WorkerPool;
 
@@ -54,7 +54,8 @@
   static int turns(Settings settings) {
     double quota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     return (int)
-        Math.max(LEAST_TURNS, Math.min(MOST_TURNS, SECONDS_OF_CALLS * quota / settings.siblings()));
+        Math.max(
+            LEAST_TURNS, Math.min(MOST_TURNS, SECONDS_OF_CALLS * quota / settings.frontEndCount()));
   }
 
   /** Takes a throw-away module through calls, answers and ticks, on a clock of its own. */
@@ -68,11 +69,11 @@
           }
         };
     AdaptiveDispatcher module = new AdaptiveDispatcher(settings, 1, now, actions);
-    List<Member> members = new ArrayList<>();
+    List<WorkerEntry> members = new ArrayList<>();
     for (int i = 1; i <= 16; i++) {
-      members.add(new Member(i * 0x9E3779B1, i % 3, i % 2, 0, State.READY, 1, 0));
+      members.add(new WorkerEntry(i * 0x9E3779B1, i % 3, i % 2, 0, WorkerState.READY, 1, 0));
     }
-    module.handle(now, new Members(ListKind.FULL, members), actions);
+    module.handle(now, new WorkerListUpdate(ListKind.FULL, members), actions);
     Random random = new Random(1);
     long end = System.nanoTime() + MODULE_NANOS;
     for (int id = 1; id <= MODULE_CALLS * turns(settings) && System.nanoTime() < end; id++) {
@@ -80,9 +81,9 @@
       int callClass = id % settings.classes().size();
       module.handle(
           now,
-          new Call(
+          new CallArrival(
               id,
-              settings.classes().get(callClass).giveUp(),
+              settings.classes().get(callClass).timeout(),
               0,
               1 + (long) (40 * random.nextDouble() * random.nextDouble()),
               4,
@@ -94,21 +95,21 @@
               1_500_000),
           actions);
       if (id % 16 == 0) {
-        module.handle(now, new Due(-1), actions);
+        module.handle(now, new TimerFired(-1), actions);
       }
       while (sends.size() > 12) {
         Send s = sends.poll();
         boolean full = id % 50 == 0;
         module.handle(
             now,
-            new Outcome(
+            new AttemptOutcome(
                 s.call(),
                 0,
                 s.worker(),
-                full ? Code.FULL : Code.OK,
+                full ? OutcomeCode.FULL : OutcomeCode.OK,
                 60_000,
                 !full,
-                Note.WARM,
+                CopyStatus.WARM,
                 1,
                 null),
             actions);
--- a/src/main/java/umberrun/admission/ConnectionLimits.java
+++ b/src/main/java/umberrun/admission/ConnectionLimits.java
@@ -64,7 +64,8 @@
    *
    * @param peers parts by which this one speaks with other front ends
    */
-  public ConnectionLimits(int descriptors, boolean invoke, boolean door, int peers) throws TooFewDescriptors {
+  public ConnectionLimits(int descriptors, boolean invoke, boolean door, int peers)
+      throws TooFewDescriptors {
     shares.put(Purpose.LINKS, Math.max(0, descriptors - HEADROOM) / LINKS_PART);
     shares.put(Purpose.INVOKE, invoke ? descriptors / INVOKE_PART : 0);
     shares.put(Purpose.DOOR, door ? DOOR : 0);
--- a/src/main/java/umberrun/cli/FleetCommand.java
+++ b/src/main/java/umberrun/cli/FleetCommand.java
@@ -18,8 +18,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
+import umberrun.fleet.net.FleetCodec.Frame;
 
 /** Who is in the fleet, as one member sees it. */
 @Command(
--- a/src/main/java/umberrun/config/OperatorFile.java
+++ b/src/main/java/umberrun/config/OperatorFile.java
@@ -26,7 +26,8 @@
    * The agent, the name that we register under, and the name whose instances are our workers (or
    * empty).
    */
-  public record ConsulOptions(SocketAddress agent, String service, String workers, long waitMillis) {}
+  public record ConsulOptions(
+      SocketAddress agent, String service, String workers, long waitMillis) {}
 
   /** Whether the list of workers comes from Consul. */
   public boolean listsWorkers() {
--- a/src/main/java/umberrun/consensus/ConsensusMessage.java
+++ b/src/main/java/umberrun/consensus/ConsensusMessage.java
@@ -19,7 +19,8 @@
   record Promised(long op, Ballot accepted, RegisterValue value) implements ConsensusMessage {}
 
   /** Asks a voter to accept. */
-  record Accept(long op, String register, Ballot ballot, RegisterValue value) implements ConsensusMessage {}
+  record Accept(long op, String register, Ballot ballot, RegisterValue value)
+      implements ConsensusMessage {}
 
   /** It has accepted. */
   record Accepted(long op) implements ConsensusMessage {}
@@ -53,7 +54,8 @@
    * @param names of the first set, in order, where there is no set yet; its own file must have the
    *     same
    */
-  record VoterQuery(long op, boolean make, VoterSet asOf, List<String> names) implements ConsensusMessage {}
+  record VoterQuery(long op, boolean make, VoterSet asOf, List<String> names)
+      implements ConsensusMessage {}
 
   /**
    * What it has.
@@ -62,5 +64,6 @@
    * @param known the newest set that it knows
    * @param fault why it has no folder, or would not make one
    */
-  record VoterDescription(long op, String key, VoterSet known, String fault) implements ConsensusMessage {}
+  record VoterDescription(long op, String key, VoterSet known, String fault)
+      implements ConsensusMessage {}
 }
--- a/src/main/java/umberrun/consensus/EpochVoter.java
+++ b/src/main/java/umberrun/consensus/EpochVoter.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import umberrun.consensus.ConsensusMessage.UnknownEpoch;
 import umberrun.consensus.ConsensusMessage.Install;
 import umberrun.consensus.ConsensusMessage.Installed;
 import umberrun.consensus.ConsensusMessage.ListRegisters;
-import umberrun.consensus.ConsensusMessage.RegisterNames;
 import umberrun.consensus.ConsensusMessage.Outdated;
+import umberrun.consensus.ConsensusMessage.RegisterNames;
+import umberrun.consensus.ConsensusMessage.UnknownEpoch;
 import umberrun.consensus.Voter.Slot;
 import umberrun.consensus.Voter.VoteResult;
 
@@ -84,7 +84,8 @@
       return new VoteResult(new UnknownEpoch(m.op()), SLOT, null);
     }
     if (m instanceof ListRegisters) {
-      return new VoteResult(new RegisterNames(m.op(), List.copyOf(voter.slots().keySet())), SLOT, null);
+      return new VoteResult(
+          new RegisterNames(m.op(), List.copyOf(voter.slots().keySet())), SLOT, null);
     }
     return voter.handle(m);
   }
--- a/src/main/java/umberrun/consensus/Proposer.java
+++ b/src/main/java/umberrun/consensus/Proposer.java
@@ -9,10 +9,10 @@
 import java.util.random.RandomGenerator;
 import umberrun.consensus.ConsensusMessage.Accept;
 import umberrun.consensus.ConsensusMessage.Accepted;
-import umberrun.consensus.ConsensusMessage.Read;
-import umberrun.consensus.ConsensusMessage.ReadResult;
 import umberrun.consensus.ConsensusMessage.Prepare;
 import umberrun.consensus.ConsensusMessage.Promised;
+import umberrun.consensus.ConsensusMessage.Read;
+import umberrun.consensus.ConsensusMessage.ReadResult;
 import umberrun.consensus.ConsensusMessage.Refused;
 
 /**
--- a/src/main/java/umberrun/consensus/Voter.java
+++ b/src/main/java/umberrun/consensus/Voter.java
@@ -5,10 +5,10 @@
 import java.util.TreeMap;
 import umberrun.consensus.ConsensusMessage.Accept;
 import umberrun.consensus.ConsensusMessage.Accepted;
-import umberrun.consensus.ConsensusMessage.Read;
-import umberrun.consensus.ConsensusMessage.ReadResult;
 import umberrun.consensus.ConsensusMessage.Prepare;
 import umberrun.consensus.ConsensusMessage.Promised;
+import umberrun.consensus.ConsensusMessage.Read;
+import umberrun.consensus.ConsensusMessage.ReadResult;
 import umberrun.consensus.ConsensusMessage.Refused;
 
 /**
--- a/src/main/java/umberrun/consensus/VoterBootstrap.java
+++ b/src/main/java/umberrun/consensus/VoterBootstrap.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import umberrun.consensus.ConsensusMessage.VoterQuery;
 import umberrun.consensus.ConsensusMessage.Install;
 import umberrun.consensus.ConsensusMessage.Installed;
 import umberrun.consensus.ConsensusMessage.VoterDescription;
+import umberrun.consensus.ConsensusMessage.VoterQuery;
 
 /**
  * Founds the first set of voters: all that are named must answer, name the same, and none may have
--- a/src/main/java/umberrun/consensus/VoterReplacement.java
+++ b/src/main/java/umberrun/consensus/VoterReplacement.java
@@ -9,8 +9,8 @@
 import umberrun.consensus.ConsensusMessage.Install;
 import umberrun.consensus.ConsensusMessage.Installed;
 import umberrun.consensus.ConsensusMessage.ListRegisters;
-import umberrun.consensus.ConsensusMessage.RegisterNames;
 import umberrun.consensus.ConsensusMessage.Outdated;
+import umberrun.consensus.ConsensusMessage.RegisterNames;
 
 /**
  * Replaces one voter by another while all goes on, or goes on with a replacement that somebody
@@ -130,7 +130,9 @@
     all.addAll(phase == Phase.INSTALLING ? known.former() : List.of());
     all.removeAll(said);
     all.forEach(
-        k -> out.send(k, phase == Phase.INSTALLING ? new Install(op, known) : new ListRegisters(op)));
+        k ->
+            out.send(
+                k, phase == Phase.INSTALLING ? new Install(op, known) : new ListRegisters(op)));
     out.wake(Math.min(until, now + AGAIN));
   }
 
--- a/src/main/java/umberrun/consensus/VoterSet.java
+++ b/src/main/java/umberrun/consensus/VoterSet.java
@@ -48,7 +48,8 @@
 
   /** The set after the one on the way. */
   VoterSet withoutLeaving() {
-    return new VoterSet(epoch + 1, keys.stream().filter(k -> !k.equals(leaving)).toList(), "", keys);
+    return new VoterSet(
+        epoch + 1, keys.stream().filter(k -> !k.equals(leaving)).toList(), "", keys);
   }
 
   boolean isOnTheWay() {
--- a/src/main/java/umberrun/consensus/net/ConsensusCodec.java
+++ b/src/main/java/umberrun/consensus/net/ConsensusCodec.java
@@ -137,8 +137,8 @@
     }
   }
 
-  private static ConsensusMessage message(MessageUnpacker in, Class<? extends ConsensusMessage> kind)
-      throws IOException {
+  private static ConsensusMessage message(
+      MessageUnpacker in, Class<? extends ConsensusMessage> kind) throws IOException {
     require(in.unpackArrayHeader() == 4);
     long op = in.unpackLong();
     if (kind == Read.class) {
@@ -170,7 +170,8 @@
     } else if (kind == VoterQuery.class) {
       return new VoterQuery(op, in.unpackBoolean(), VoterSet.read(text(in, MOST_SET)), names(in));
     }
-    return new VoterDescription(op, text(in, MOST_TEXT), VoterSet.read(text(in, MOST_SET)), text(in, MOST_SET));
+    return new VoterDescription(
+        op, text(in, MOST_TEXT), VoterSet.read(text(in, MOST_SET)), text(in, MOST_SET));
   }
 
   /** Guards the memory of voters: a name is bounded, and none is the folder's own slot. */
--- a/src/main/java/umberrun/consensus/net/RegisterManager.java
+++ b/src/main/java/umberrun/consensus/net/RegisterManager.java
@@ -10,17 +10,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import umberrun.consensus.VoterBootstrap;
+import umberrun.config.LeaseOptions;
 import umberrun.consensus.ConsensusMessage;
-import umberrun.consensus.ConsensusMessage.VoterQuery;
 import umberrun.consensus.ConsensusMessage.Install;
 import umberrun.consensus.ConsensusMessage.VoterDescription;
+import umberrun.consensus.ConsensusMessage.VoterQuery;
 import umberrun.consensus.Proposer;
-import umberrun.consensus.VoterReplacement;
 import umberrun.consensus.RegisterValue;
+import umberrun.consensus.VoterBootstrap;
+import umberrun.consensus.VoterReplacement;
 import umberrun.consensus.VoterSet;
 import umberrun.consensus.net.ConsensusCodec.Envelope;
-import umberrun.config.LeaseOptions;
 import umberrun.core.Clock;
 import umberrun.stats.Counters;
 
@@ -52,7 +52,8 @@
   private static final int COMMANDER = -2;
 
   /** A change (null: a read), what waits for it, and when it is given up. */
-  private record Asked(String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {}
+  private record Asked(
+      String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {}
 
   /**
    * One proposer and what waits for it: changes of one way are in order, those of several go on
@@ -81,7 +82,8 @@
     }
 
     /** Changes a register; null where it is not known whether that was done. */
-    public void change(String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {
+    public void change(
+        String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {
       add(new Asked(register, change, until, then));
     }
 
@@ -361,7 +363,8 @@
     }
     log.accept("leases: a new folder is made for the voter " + name);
     desk.make(random.nextLong() >>> 1)
-        .onComplete(v -> answer.accept(new VoterDescription(a.op(), desk.key(), known, desk.fault())));
+        .onComplete(
+            v -> answer.accept(new VoterDescription(a.op(), desk.key(), known, desk.fault())));
   }
 
   // ---------------------------------------------------------------- what operators order
--- a/src/main/java/umberrun/consensus/sim/RegisterSimulation.java
+++ b/src/main/java/umberrun/consensus/sim/RegisterSimulation.java
@@ -12,11 +12,11 @@
 import java.util.stream.IntStream;
 import umberrun.consensus.Ballot;
 import umberrun.consensus.ConsensusMessage;
-import umberrun.consensus.Proposer;
 import umberrun.consensus.EpochVoter;
-import umberrun.consensus.VoterReplacement;
+import umberrun.consensus.Proposer;
 import umberrun.consensus.RegisterValue;
 import umberrun.consensus.Voter;
+import umberrun.consensus.VoterReplacement;
 import umberrun.consensus.VoterSet;
 import umberrun.sim.VirtualNetwork;
 
@@ -47,7 +47,8 @@
     }
   }
 
-  private static final Voter.Slot NOTHING = new Voter.Slot(Ballot.NONE, Ballot.NONE, RegisterValue.NONE);
+  private static final Voter.Slot NOTHING =
+      new Voter.Slot(Ballot.NONE, Ballot.NONE, RegisterValue.NONE);
   private static final int MOST_REGISTERS = 16;
   private static final long TRY_MICROS = 300_000;
   private static final long CHANGE_MICROS = 2_000_000;
@@ -301,7 +302,8 @@
     this.hosts = new Host[hostCount];
     net.links(0, 0.02, 200, 5_000);
     REGISTERS.forEach(r -> done.put(r, new ArrayList<>()));
-    VoterSet first = VoterSet.first(IntStream.range(0, voters).mapToObj(i -> name(i) + "#0").toList());
+    VoterSet first =
+        VoterSet.first(IntStream.range(0, voters).mapToObj(i -> name(i) + "#0").toList());
     for (int i = 0; i < hostCount; i++) {
       hosts[i] = new Host(i, first);
       if (i < voters) {
--- a/src/main/java/umberrun/core/Attempt.java
+++ b/src/main/java/umberrun/core/Attempt.java
@@ -1,8 +1,8 @@
 package umberrun.core;
 
 import saddlestall.Dispatcher.CallClass;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.Effect;
+import saddlestall.Dispatcher.Idempotency;
+import saddlestall.Dispatcher.OutcomeCode;
 import umberrun.core.WorkerTransport.AttemptResult;
 
 /** One send of a call to one worker; ends once. */
@@ -15,7 +15,7 @@
   private final long deadline;
 
   /** How it ended, or null while it is out. */
-  private Code end;
+  private OutcomeCode end;
 
   Attempt(DispatchLoop owner, Call call, int index, int worker, long sentAt, long deadline) {
     this.owner = owner;
@@ -56,9 +56,9 @@
    */
   public boolean isWanted(long now) {
     CallClass kind = owner.settings().classes().get(call.request.callClass());
-    long window = kind.effect() == Effect.KEYED ? kind.dedupWindow() : 0;
+    long window = kind.idempotency() == Idempotency.DEDUPLICATED ? kind.dedupWindow() : 0;
     return call.isAwaited()
-        && (kind.effect() == Effect.SAFE
+        && (kind.idempotency() == Idempotency.IDEMPOTENT
             || call.attempts.stream()
                 .noneMatch(a -> a != this && a.mayHaveRun() && now - a.sentAt >= window));
   }
--- a/src/main/java/umberrun/core/DispatchLoop.java
+++ b/src/main/java/umberrun/core/DispatchLoop.java
@@ -22,30 +22,30 @@
 import java.util.function.Supplier;
 import saddlestall.Dispatcher;
 import saddlestall.Dispatcher.Action;
+import saddlestall.Dispatcher.AttemptOutcome;
 import saddlestall.Dispatcher.Cancel;
-import saddlestall.Dispatcher.Close;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.Drop;
-import saddlestall.Dispatcher.Due;
+import saddlestall.Dispatcher.ClientDisconnected;
+import saddlestall.Dispatcher.CloseIdleConnections;
 import saddlestall.Dispatcher.Event;
 import saddlestall.Dispatcher.Fail;
-import saddlestall.Dispatcher.Fetch;
-import saddlestall.Dispatcher.Hold;
-import saddlestall.Dispatcher.Left;
+import saddlestall.Dispatcher.FetchWorkerList;
 import saddlestall.Dispatcher.ListKind;
-import saddlestall.Dispatcher.Loaded;
 import saddlestall.Dispatcher.Log;
-import saddlestall.Dispatcher.Member;
-import saddlestall.Dispatcher.Members;
-import saddlestall.Dispatcher.Outcome;
+import saddlestall.Dispatcher.OutcomeCode;
+import saddlestall.Dispatcher.Preload;
+import saddlestall.Dispatcher.PreloadResult;
 import saddlestall.Dispatcher.Probe;
-import saddlestall.Dispatcher.Probed;
+import saddlestall.Dispatcher.ProbeResult;
 import saddlestall.Dispatcher.Refuse;
 import saddlestall.Dispatcher.Send;
 import saddlestall.Dispatcher.Settings;
-import saddlestall.Dispatcher.State;
-import saddlestall.Dispatcher.Timer;
-import saddlestall.Dispatcher.Watch;
+import saddlestall.Dispatcher.StartTimer;
+import saddlestall.Dispatcher.Subscribe;
+import saddlestall.Dispatcher.TimerFired;
+import saddlestall.Dispatcher.Unload;
+import saddlestall.Dispatcher.WorkerEntry;
+import saddlestall.Dispatcher.WorkerListUpdate;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.core.WorkerSuspensions.EffectiveState;
 import umberrun.core.WorkerTransport.AttemptResult;
 import umberrun.learning.Fact;
@@ -267,27 +267,27 @@
       refuse(calls.get(a.call()), a.retryAfter() / 1_000);
     } else if (action instanceof Fail a) {
       fail(calls.get(a.call()));
-    } else if (action instanceof Timer a) {
+    } else if (action instanceof StartTimer a) {
       startTimer(a);
-    } else if (action instanceof Hold a) {
+    } else if (action instanceof Preload a) {
       counters.add(Count.ORDERS_SENT);
       discovery.leases().tried(a.worker(), clock.now());
       out.merge(a.worker(), 1, Integer::sum);
       workers.hold(
           new PreloadRequest(
               this, a.worker(), a.function(), spelling(a.function()), a.copies(), clock.now()));
-    } else if (action instanceof Drop a) {
+    } else if (action instanceof Unload a) {
       workers.free(a.worker(), spelling(a.function()));
     } else if (action instanceof Cancel a) {
       cancel(calls.get(a.call()), a.attempt());
     } else if (action instanceof Probe a) {
       counters.add(Count.PROBES_SENT);
       workers.probe(new WorkerProbe(this, a.worker(), clock.now()));
-    } else if (action instanceof Close a) {
+    } else if (action instanceof CloseIdleConnections a) {
       workers.closeIdle(a.worker());
     } else if (action instanceof Log a) {
       log.accept(a.text());
-    } else if (action instanceof Fetch || action instanceof Watch w && w.on()) {
+    } else if (action instanceof FetchWorkerList || action instanceof Subscribe w && w.on()) {
       post(this::tellWholeList);
     } // Tell: front ends can't reach each other here
   }
@@ -330,7 +330,7 @@
         () -> {
           if (!call.over) {
             end(call, Count.CALLS_LEFT, r -> {});
-            tell(new Left(call.id));
+            tell(new ClientDisconnected(call.id));
           }
         });
   }
@@ -351,7 +351,7 @@
     call.timers.add(
         vertx.setTimer(Math.max(1, (left - call.early / 3) / 1_000), t -> post(() -> guard(call))));
     tell(
-        new Dispatcher.Call(
+        new Dispatcher.CallArrival(
             call.id,
             Math.max(1_000, left - call.early),
             0,
@@ -370,14 +370,15 @@
     if (!call.over) {
       counters.add(Count.CALLS_GUARDED);
       fail(call);
-      tell(new Left(call.id));
+      tell(new ClientDisconnected(call.id));
     }
   }
 
   private void refuse(Call call, long backoffMillis) {
     if (call != null && !call.over) {
       boolean safe =
-          settings.classes().get(call.request.callClass()).effect() == Dispatcher.Effect.SAFE;
+          settings.classes().get(call.request.callClass()).idempotency()
+              == Dispatcher.Idempotency.IDEMPOTENT;
       if (!safe
           && (call.mayHaveRun
               || call.out > 0)) { // guards rule 2: 'try again' only where that is harmless
@@ -423,14 +424,14 @@
       post(
           () ->
               tell(
-                  new Outcome(
+                  new AttemptOutcome(
                       a.call(),
                       0,
                       a.worker(),
-                      Code.MOOT,
+                      OutcomeCode.MOOT,
                       0,
                       true,
-                      Dispatcher.Note.NONE,
+                      Dispatcher.CopyStatus.NONE,
                       -1,
                       null)));
       return;
@@ -446,7 +447,7 @@
       workers.run(attempt);
     } else { // guards rule 1, and callers who have gone: nothing is sent for a call that has its
       // answer or wants none
-      attempt.end(AttemptResult.of(Code.MOOT));
+      attempt.end(AttemptResult.of(OutcomeCode.MOOT));
     }
   }
 
@@ -462,16 +463,16 @@
     cameBack(attempt.worker());
     call.mayHaveRun |= !e.code().notRun;
     counters.add(Count.valueOf("ATTEMPTS_" + e.code()));
-    if (e.code() == Code.OK) {
+    if (e.code() == OutcomeCode.OK) {
       tookWork(attempt.worker(), attempt.sentAt);
     }
-    if (e.code() == Code.OK && !call.over) {
+    if (e.code() == OutcomeCode.OK && !call.over) {
       end(call, Count.CALLS_SERVED, r -> r.served(e.body()));
     }
     hearsay.check(attempt.worker(), call.request.function(), e.note(), clock.now());
     try {
       tell(
-          new Outcome(
+          new AttemptOutcome(
               call.id,
               attempt.index,
               attempt.worker(),
@@ -493,12 +494,12 @@
     out.computeIfPresent(worker, (w, n) -> n > 1 ? n - 1 : null);
   }
 
-  void loaded(PreloadRequest o, Code code, int standing) {
+  void loaded(PreloadRequest o, OutcomeCode code, int standing) {
     cameBack(o.worker());
-    if (code == Code.OK && o.copies() > 0) {
+    if (code == OutcomeCode.OK && o.copies() > 0) {
       tookWork(o.worker(), o.givenAt);
     }
-    tell(new Loaded(clock.now() - o.givenAt, standing, o.worker(), code, o.function));
+    tell(new PreloadResult(clock.now() - o.givenAt, standing, o.worker(), code, o.function));
   }
 
   private void tookWork(int worker, long sentAt) {
@@ -507,8 +508,8 @@
     }
   }
 
-  void probed(WorkerProbe p, Code code, float[] report) {
-    tell(new Probed(clock.now() - p.askedAt, p.worker(), code, report));
+  void probed(WorkerProbe p, OutcomeCode code, float[] report) {
+    tell(new ProbeResult(clock.now() - p.askedAt, p.worker(), code, report));
   }
 
   /**
@@ -519,7 +520,7 @@
     post(
         () -> {
           WorkerTable.Entry entry = roster.find(worker);
-          if (entry == null || standing(entry).state() != State.READY) {
+          if (entry == null || standing(entry).state() != WorkerState.READY) {
             then.accept(false, 0L);
             return;
           }
@@ -530,7 +531,7 @@
                   this,
                   entry.id(),
                   asked,
-                  code -> then.accept(code == Code.OK, clock.now() - asked)));
+                  code -> then.accept(code == OutcomeCode.OK, clock.now() - asked)));
         });
   }
 
@@ -538,7 +539,7 @@
   public List<String> ready(int zone) {
     List<String> names = new ArrayList<>();
     for (WorkerTable.Entry e : roster.all()) {
-      if ((zone < 0 || e.endpoint().zone() == zone) && standing(e).state() == State.READY) {
+      if ((zone < 0 || e.endpoint().zone() == zone) && standing(e).state() == WorkerState.READY) {
         names.add(e.endpoint().name());
       }
     }
@@ -551,7 +552,7 @@
     return known != null ? known : Buffer.buffer(String.format("%016x", function));
   }
 
-  private void startTimer(Timer a) {
+  private void startTimer(StartTimer a) {
     Call call = a.token() >= 0 ? calls.get((int) a.token()) : null;
     if (a.token() >= 0 && (call == null || call.over)) {
       return;
@@ -560,7 +561,8 @@
     // finds nothing due.
     long id =
         vertx.setTimer(
-            Math.max(1, (a.delay() + 999) / 1_000), t -> post(() -> tell(new Due(a.token()))));
+            Math.max(1, (a.delay() + 999) / 1_000),
+            t -> post(() -> tell(new TimerFired(a.token()))));
     if (call != null) {
       call.timers.add(id);
     }
@@ -574,7 +576,7 @@
         () -> {
           counters.add(Count.LIST_CHANGES);
           long now = clock.now();
-          List<Member> members = new ArrayList<>();
+          List<WorkerEntry> members = new ArrayList<>();
           List<WorkerTable.Entry> missing = new ArrayList<>();
           if (kind != ListKind.DELTA) {
             roster.all().forEach(missing::add);
@@ -593,28 +595,28 @@
                     e.zone(),
                     e.kind(),
                     e.cell(),
-                    State.GONE,
+                    WorkerState.GONE,
                     e.weight(),
                     e.since()),
                 now,
                 members);
           }
-          tell(new Members(kind, members));
+          tell(new WorkerListUpdate(kind, members));
           believe(hearsay.takeEarly());
         });
   }
 
-  private void take(Endpoint e, long now, List<Member> members) {
+  private void take(Endpoint e, long now, List<WorkerEntry> members) {
     WorkerTable.Entry entry = roster.tell(e, now);
     members.add(stand(entry));
-    if (e.state() == State.GONE) {
+    if (e.state() == WorkerState.GONE) {
       roster.forget(entry);
       discovery.leases().forget(entry.id());
     }
   }
 
   /** Tells the way to a worker what holds for it; the same for the module. */
-  private Member stand(WorkerTable.Entry entry) {
+  private WorkerEntry stand(WorkerTable.Entry entry) {
     EffectiveState s = standing(entry);
     Endpoint e = entry.endpoint();
     workers.update(
@@ -660,7 +662,7 @@
 
     @Override
     public boolean isListedReady(int worker) {
-      return roster.find(worker).endpoint().state() == State.READY;
+      return roster.find(worker).endpoint().state() == WorkerState.READY;
     }
 
     @Override
@@ -670,19 +672,20 @@
 
     @Override
     public void renew(List<Integer> workers, int urgent) {
-      tell(new Dispatcher.Expiring(workers, urgent));
+      tell(new Dispatcher.LeasesExpiring(workers, urgent));
     }
   }
 
   private void tellWholeList() {
-    List<Member> members = new ArrayList<>();
+    List<WorkerEntry> members = new ArrayList<>();
     roster.all().forEach(e -> members.add(member(e, standing(e))));
-    tell(new Members(ListKind.FULL, members));
+    tell(new WorkerListUpdate(ListKind.FULL, members));
   }
 
-  private static Member member(WorkerTable.Entry entry, EffectiveState s) {
+  private static WorkerEntry member(WorkerTable.Entry entry, EffectiveState s) {
     Endpoint e = entry.endpoint();
-    return new Member(entry.id(), e.zone(), e.kind(), e.cell(), s.state(), e.weight(), s.since());
+    return new WorkerEntry(
+        entry.id(), e.zone(), e.kind(), e.cell(), s.state(), e.weight(), s.since());
   }
 
   // ---------------------------------------------------------------- what operators say of workers
@@ -770,7 +773,7 @@
     return inTurn(
         () -> {
           long now = clock.now();
-          module.recall(
+          module.exportObservations(
               now,
               known ->
                   hearsay.saw(
@@ -811,7 +814,7 @@
         }
       }
       EffectiveState s = entry == null ? null : standing(entry);
-      Dispatcher.Known known =
+      Dispatcher.Observation known =
           hearsay.heard(
               fact,
               entry == null ? 0 : entry.id(),
@@ -856,7 +859,7 @@
       Endpoint p = e.endpoint();
       long since = standing(e).since();
       boolean ready =
-          p.state() == State.READY
+          p.state() == WorkerState.READY
               && !discovery.leases().isHeldBack(e.id()); // what nobody knows of counts as out
       all.add(
           new WorkerView(
@@ -865,7 +868,7 @@
               p.kind(),
               ready,
               p.since(),
-              since > 0 && now - since < settings.rules().cold(),
+              since > 0 && now - since < settings.rules().coldDuration(),
               toldFailing.contains(p.name())));
     }
     return all;
@@ -894,12 +897,12 @@
   public Map<String, Set<String>> copies(int most) {
     Map<Long, Double> recent = new HashMap<>();
     Map<Long, Set<String>> at = new HashMap<>();
-    module.recall(
+    module.exportObservations(
         clock.now(),
         known -> {
-          if (known instanceof Dispatcher.KnownFunction f && f.recent() >= 1) {
-            recent.put(f.function(), f.recent());
-          } else if (known instanceof Dispatcher.KnownCopy c
+          if (known instanceof Dispatcher.FunctionObservation f && f.recentCalls() >= 1) {
+            recent.put(f.function(), f.recentCalls());
+          } else if (known instanceof Dispatcher.CopyObservation c
               && roster.find(c.worker()) != null
               && !discovery.leases().isHeldBack(c.worker())) {
             at.computeIfAbsent(c.function(), k -> new HashSet<>())
@@ -921,13 +924,13 @@
         () -> {
           WorkerTable.Entry entry = roster.find(worker);
           if (entry != null) {
-            tell(new Dispatcher.Wanted(entry.id(), function));
+            tell(new Dispatcher.CopyRequested(entry.id(), function));
           }
         });
   }
 
   private void restate(Iterable<String> names) {
-    List<Member> members = new ArrayList<>();
+    List<WorkerEntry> members = new ArrayList<>();
     for (String name : names) {
       WorkerTable.Entry entry = roster.find(name);
       if (entry != null) {
@@ -935,7 +938,7 @@
       }
     }
     if (!members.isEmpty()) {
-      tell(new Members(ListKind.DELTA, members));
+      tell(new WorkerListUpdate(ListKind.DELTA, members));
     }
   }
 
@@ -968,7 +971,7 @@
 
   /** How many front ends there likely are, and by how much what belongs to all is divided here. */
   public void siblings(double count, double divisor) {
-    post(() -> tell(new Dispatcher.Siblings(count, divisor)));
+    post(() -> tell(new Dispatcher.FleetSizeUpdate(count, divisor)));
   }
 
   /**
--- a/src/main/java/umberrun/core/Endpoint.java
+++ b/src/main/java/umberrun/core/Endpoint.java
@@ -1,6 +1,6 @@
 package umberrun.core;
 
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 
 /**
  * One line of the list of workers.
@@ -15,6 +15,6 @@
     int zone,
     int kind,
     int cell,
-    State state,
+    WorkerState state,
     double weight,
     long since) {}
--- a/src/main/java/umberrun/core/FactTranslator.java
+++ b/src/main/java/umberrun/core/FactTranslator.java
@@ -7,19 +7,19 @@
 import java.util.Set;
 import java.util.UUID;
 import java.util.function.IntFunction;
-import saddlestall.Dispatcher.Known;
-import saddlestall.Dispatcher.KnownCopy;
-import saddlestall.Dispatcher.KnownFunction;
-import saddlestall.Dispatcher.KnownWorker;
-import saddlestall.Dispatcher.Note;
+import saddlestall.Dispatcher.CopyObservation;
+import saddlestall.Dispatcher.CopyStatus;
+import saddlestall.Dispatcher.FunctionObservation;
+import saddlestall.Dispatcher.Observation;
 import saddlestall.Dispatcher.Settings;
-import umberrun.learning.FactHalfLife;
+import saddlestall.Dispatcher.WorkerObservation;
 import umberrun.learning.Fact;
 import umberrun.learning.Fact.Kind;
 import umberrun.learning.Fact.Subject;
 import umberrun.learning.Fact.Value;
-import umberrun.learning.FactStore;
 import umberrun.learning.FactFilter;
+import umberrun.learning.FactHalfLife;
+import umberrun.learning.FactStore;
 
 /**
  * Between facts, which have names and origins, and the module, which has numbers: what it saw, and
@@ -52,11 +52,14 @@
   private final Set<Fact> early = new LinkedHashSet<>();
 
   FactTranslator(Settings settings) {
-    long keep = settings.loads().keep() > 0 ? settings.loads().keep() : 10 * SECOND;
+    long keep =
+        settings.loadPolicy().idleRetention() > 0
+            ? settings.loadPolicy().idleRetention()
+            : 10 * SECOND;
     calibration =
         new FactHalfLife(
             Map.of(Kind.COPY, keep, Kind.WORKER, WORKER_LIFE, Kind.FUNCTION, FUNCTION_LIFE));
-    screen = new FactFilter(settings.rules().cold(), MOST_AGE);
+    screen = new FactFilter(settings.rules().coldDuration(), MOST_AGE);
   }
 
   /** This instance and this life of it. */
@@ -65,31 +68,36 @@
   }
 
   /** Takes down what the module saw for itself. */
-  void saw(Known known, IntFunction<String> nameOf, long now) {
+  void saw(Observation known, IntFunction<String> nameOf, long now) {
     Fact fact = fact(known, nameOf, now);
     if (fact != null) {
       knowledge.merge(fact);
     }
   }
 
-  private Fact fact(Known known, IntFunction<String> nameOf, long now) {
-    if (known instanceof KnownFunction f) {
+  private Fact fact(Observation known, IntFunction<String> nameOf, long now) {
+    if (known instanceof FunctionObservation f) {
       return new Fact(
           new Subject(Kind.FUNCTION, "", f.function()),
-          new Value(f.callClass(), f.lanes(), f.loadTime(), f.recent()),
+          new Value(f.callClass(), f.lanes(), f.loadTime(), f.recentCalls()),
           origin,
           now - f.age());
     }
     String name =
-        nameOf.apply(known instanceof KnownCopy c ? c.worker() : ((KnownWorker) known).worker());
+        nameOf.apply(
+            known instanceof CopyObservation c ? c.worker() : ((WorkerObservation) known).worker());
     if (name == null) { // it went before its calls ended
       return null;
     }
-    return known instanceof KnownCopy c
+    return known instanceof CopyObservation c
         ? new Fact(new Subject(Kind.COPY, name, c.function()), Value.NONE, origin, now - c.age())
         : new Fact(
             new Subject(Kind.WORKER, name, 0),
-            new Value(((KnownWorker) known).pace(), ((KnownWorker) known).bad(), 0, 0),
+            new Value(
+                ((WorkerObservation) known).latencyRatio(),
+                ((WorkerObservation) known).failureRate(),
+                0,
+                0),
             origin,
             now);
   }
@@ -113,7 +121,7 @@
   }
 
   /** Takes down what another instance saw; what the module is to be told of it, or null. */
-  Known heard(Fact fact, int worker, FactFilter.WorkerStatus standing, long now) {
+  Observation heard(Fact fact, int worker, FactFilter.WorkerStatus standing, long now) {
     if (fact.origin().equals(origin)
         || !screen.admits(fact, standing, now)
         || !knowledge.merge(fact)) {
@@ -128,20 +136,21 @@
         if (unchecked.size() < MOST_UNCHECKED) {
           unchecked.put(new Place(worker, s.function()), fact.seenAt());
         }
-        yield new KnownCopy(worker, s.function(), age, weight);
+        yield new CopyObservation(worker, s.function(), age, weight);
       }
-      case WORKER -> new KnownWorker(worker, v.a(), v.b(), age, weight);
+      case WORKER -> new WorkerObservation(worker, v.a(), v.b(), age, weight);
       case FUNCTION ->
-          new KnownFunction(s.function(), (int) v.a(), v.b(), (long) v.c(), v.d(), age, weight);
+          new FunctionObservation(
+              s.function(), (int) v.a(), v.b(), (long) v.c(), v.d(), age, weight);
     };
   }
 
   /** An answer tells whether what we heard of a copy was right. */
-  void check(int worker, long function, Note note, long now) {
-    if (!unchecked.isEmpty() && note != Note.NONE) {
+  void check(int worker, long function, CopyStatus note, long now) {
+    if (!unchecked.isEmpty() && note != CopyStatus.NONE) {
       Long seenAt = unchecked.remove(new Place(worker, function));
       if (seenAt != null && now - seenAt <= MOST_AGE) {
-        calibration.saw(Kind.COPY, now - seenAt, note == Note.WARM);
+        calibration.saw(Kind.COPY, now - seenAt, note == CopyStatus.WARM);
       }
     }
   }
--- a/src/main/java/umberrun/core/InvocationRegistry.java
+++ b/src/main/java/umberrun/core/InvocationRegistry.java
@@ -51,7 +51,8 @@
   private int inHand;
   private long bytes;
 
-  public InvocationRegistry(Vertx vertx, Clock clock, DispatchLoop owner, Counters counters, Bounds bounds) {
+  public InvocationRegistry(
+      Vertx vertx, Clock clock, DispatchLoop owner, Counters counters, Bounds bounds) {
     this.vertx = vertx;
     this.clock = clock;
     this.owner = owner;
--- a/src/main/java/umberrun/core/PreloadRequest.java
+++ b/src/main/java/umberrun/core/PreloadRequest.java
@@ -1,7 +1,7 @@
 package umberrun.core;
 
 import io.vertx.core.buffer.Buffer;
-import saddlestall.Dispatcher.Code;
+import saddlestall.Dispatcher.OutcomeCode;
 
 /** One order to hold copies; ends once. */
 public final class PreloadRequest {
@@ -13,7 +13,13 @@
   final long givenAt;
   private boolean ended;
 
-  PreloadRequest(DispatchLoop owner, int worker, long function, Buffer functionBytes, int copies, long givenAt) {
+  PreloadRequest(
+      DispatchLoop owner,
+      int worker,
+      long function,
+      Buffer functionBytes,
+      int copies,
+      long givenAt) {
     this.owner = owner;
     this.worker = worker;
     this.function = function;
@@ -35,7 +41,7 @@
   }
 
   /** Guards, as for an attempt, against a second end. */
-  public void end(Code code, int standing) {
+  public void end(OutcomeCode code, int standing) {
     if (!ended) {
       ended = true;
       owner.post(() -> owner.loaded(this, code, standing));
--- a/src/main/java/umberrun/core/WorkerProbe.java
+++ b/src/main/java/umberrun/core/WorkerProbe.java
@@ -1,14 +1,14 @@
 package umberrun.core;
 
 import java.util.function.Consumer;
-import saddlestall.Dispatcher.Code;
+import saddlestall.Dispatcher.OutcomeCode;
 
 /** One probe of a worker; ends once. */
 public final class WorkerProbe {
   private final DispatchLoop owner;
   private final int worker;
   final long askedAt;
-  private final Consumer<Code> then;
+  private final Consumer<OutcomeCode> then;
   private boolean ended;
 
   WorkerProbe(DispatchLoop owner, int worker, long askedAt) {
@@ -18,7 +18,7 @@
   /**
    * @param then is told of the end in the place of the module, or null
    */
-  WorkerProbe(DispatchLoop owner, int worker, long askedAt, Consumer<Code> then) {
+  WorkerProbe(DispatchLoop owner, int worker, long askedAt, Consumer<OutcomeCode> then) {
     this.owner = owner;
     this.worker = worker;
     this.askedAt = askedAt;
@@ -30,7 +30,7 @@
   }
 
   /** Guards, as for an attempt, against a second end. */
-  public void end(Code code, float[] report) {
+  public void end(OutcomeCode code, float[] report) {
     if (!ended) {
       ended = true;
       owner.post(
--- a/src/main/java/umberrun/core/WorkerSuspensions.java
+++ b/src/main/java/umberrun/core/WorkerSuspensions.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 
 /**
  * What operators have said of workers by hand, laid over what the list says of them. Free of I/O;
@@ -20,11 +20,13 @@
    * @param stopAt from when on nothing new is written to it, {@link #NEVER} while it may get work
    * @param since when it last started, 0 for long past
    */
-  record EffectiveState(State state, long stopAt, long since) {
+  record EffectiveState(WorkerState state, long stopAt, long since) {
     /** The same for a worker of which nobody knows by now whether it drains. */
     EffectiveState heldBack(long leaseEnds) {
       return new EffectiveState(
-          state == State.READY ? State.DRAINING : state, Math.min(stopAt, leaseEnds), since);
+          state == WorkerState.READY ? WorkerState.DRAINING : state,
+          Math.min(stopAt, leaseEnds),
+          since);
     }
   }
 
@@ -117,12 +119,14 @@
    * What holds for a worker of which the list said this, for the first time at {@code toldAt} (0:
    * it is ready).
    */
-  EffectiveState over(String worker, State listed, long toldAt, long since) {
+  EffectiveState over(String worker, WorkerState listed, long toldAt, long since) {
     long drained = toldAt == 0 ? NEVER : toldAt + grace;
     Long outAt = out.getOrDefault(worker, settled.get(worker));
     if (outAt != null) {
       return new EffectiveState(
-          listed == State.READY ? State.DRAINING : listed, Math.min(drained, outAt), since);
+          listed == WorkerState.READY ? WorkerState.DRAINING : listed,
+          Math.min(drained, outAt),
+          since);
     }
     return new EffectiveState(listed, drained, Math.max(since, back.getOrDefault(worker, 0L)));
   }
--- a/src/main/java/umberrun/core/WorkerTable.java
+++ b/src/main/java/umberrun/core/WorkerTable.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.zip.CRC32;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 
 /** The table of workers: the number that the module knows each by, and what was last told of it. */
 final class WorkerTable {
@@ -28,7 +28,9 @@
   Entry tell(Endpoint e, long now) {
     Entry before = byName.get(e.name());
     long toldAt =
-        e.state() == State.READY ? 0 : before == null || before.toldAt == 0 ? now : before.toldAt;
+        e.state() == WorkerState.READY
+            ? 0
+            : before == null || before.toldAt == 0 ? now : before.toldAt;
     Entry after = new Entry(before == null ? number(e.name()) : before.id, e, toldAt);
     byName.put(e.name(), after);
     everListed.add(e.name());
--- a/src/main/java/umberrun/core/WorkerTransport.java
+++ b/src/main/java/umberrun/core/WorkerTransport.java
@@ -1,8 +1,8 @@
 package umberrun.core;
 
 import io.vertx.core.buffer.Buffer;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.Note;
+import saddlestall.Dispatcher.CopyStatus;
+import saddlestall.Dispatcher.OutcomeCode;
 
 /** The way to the workers. Each thing handed over ends once, through the owner's queue. */
 public interface WorkerTransport {
@@ -29,9 +29,9 @@
    * How an attempt ended: {@code crowd} is -1 where it was not told, {@code body} null unless
    * served.
    */
-  record AttemptResult(Code code, Note note, int crowd, float[] report, Buffer body) {
-    public static AttemptResult of(Code code) {
-      return new AttemptResult(code, Note.NONE, -1, null, null);
+  record AttemptResult(OutcomeCode code, CopyStatus note, int crowd, float[] report, Buffer body) {
+    public static AttemptResult of(OutcomeCode code) {
+      return new AttemptResult(code, CopyStatus.NONE, -1, null, null);
     }
   }
 }
--- a/src/main/java/umberrun/discovery/WorkerLeases.java
+++ b/src/main/java/umberrun/discovery/WorkerLeases.java
@@ -179,7 +179,8 @@
 
   private void reviewStart(int worker, long now, Review found) {
     Long at = refusedAt.get(worker);
-    boolean counts = at != null && at > contact.heardAt() && now >= at + DiscoveryContact.TOLD - REVIEW;
+    boolean counts =
+        at != null && at > contact.heardAt() && now >= at + DiscoveryContact.TOLD - REVIEW;
     Long before = counts ? restarted.put(worker, at) : restarted.remove(worker);
     if (counts ? !at.equals(before) : before != null) {
       found.restarted.add(worker);
--- a/src/main/java/umberrun/fleet/Claim.java
+++ b/src/main/java/umberrun/fleet/Claim.java
@@ -11,7 +11,13 @@
  *     the order
  */
 public record Claim(
-    String name, ProcessGeneration life, long incarnation, Status status, About about, String accuser, long age)
+    String name,
+    ProcessGeneration life,
+    long incarnation,
+    Status status,
+    About about,
+    String accuser,
+    long age)
     implements Comparable<Claim> {
 
   /** In the order in which claims of one incarnation win. */
--- a/src/main/java/umberrun/fleet/Membership.java
+++ b/src/main/java/umberrun/fleet/Membership.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import umberrun.fleet.MembershipChange.Kind;
 import umberrun.fleet.Claim.Status;
+import umberrun.fleet.MembershipChange.Kind;
 
 /**
  * One member's view of its fleet, and what it does to keep it: SWIM with Lifeguard, see {@code
  * docs/fleet-view.md}. Free of I/O, threads and clocks: times are handed in, in microseconds of a
- * steady clock, and what is to be done goes to the {@link MembershipOutbox}. The same calls with the same
- * seed lead to the same view.
+ * steady clock, and what is to be done goes to the {@link MembershipOutbox}. The same calls with
+ * the same seed lead to the same view.
  */
 public class Membership {
   /** Claims in a datagram beside the sender's own, in bytes; the rest of 1,400 is for the head. */
@@ -120,8 +120,12 @@
   /** Begins to look for others. */
   public void start(long now) {
     startedAt = now;
-    out.start(MembershipTimer.of(MembershipTimer.Kind.PROBE), now + (long) (random.nextDouble() * settings.interval()));
-    out.start(MembershipTimer.of(MembershipTimer.Kind.EXCHANGE), now + spread(settings.exchange() / HASTE));
+    out.start(
+        MembershipTimer.of(MembershipTimer.Kind.PROBE),
+        now + (long) (random.nextDouble() * settings.interval()));
+    out.start(
+        MembershipTimer.of(MembershipTimer.Kind.EXCHANGE),
+        now + spread(settings.exchange() / HASTE));
     out.start(MembershipTimer.of(MembershipTimer.Kind.RECONNECT), now);
   }
 
@@ -156,7 +160,8 @@
       self = self.with(Status.LEFT, "");
       for (Peer p : some(HELPERS, "")) {
         out.send(
-            p.claim.about().address(), message(GossipMessage.Kind.PING, 0, p.claim.name(), "", null));
+            p.claim.about().address(),
+            message(GossipMessage.Kind.PING, 0, p.claim.name(), "", null));
       }
       end();
     }
@@ -166,11 +171,19 @@
   public void end() {
     over = true;
     for (MembershipTimer.Kind kind :
-        List.of(MembershipTimer.Kind.PROBE, MembershipTimer.Kind.DIRECT, MembershipTimer.Kind.EXCHANGE, MembershipTimer.Kind.RECONNECT)) {
+        List.of(
+            MembershipTimer.Kind.PROBE,
+            MembershipTimer.Kind.DIRECT,
+            MembershipTimer.Kind.EXCHANGE,
+            MembershipTimer.Kind.RECONNECT)) {
       out.cancel(MembershipTimer.of(kind));
     }
     peers.forEach((n, p) -> out.cancel(new MembershipTimer(MembershipTimer.Kind.SUSPICION, n)));
-    forwards.keySet().forEach(seq -> out.cancel(new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(seq))));
+    forwards
+        .keySet()
+        .forEach(
+            seq ->
+                out.cancel(new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(seq))));
   }
 
   /** A datagram of the same fleet came. */
@@ -191,7 +204,11 @@
               back,
               m.target().equals(name) && !yielded
                   ? message(
-                      GossipMessage.Kind.ACK, m.seq(), m.from().name(), "", unlike(sender, m.from()))
+                      GossipMessage.Kind.ACK,
+                      m.seq(),
+                      m.from().name(),
+                      "",
+                      unlike(sender, m.from()))
                   : message(GossipMessage.Kind.STRANGER, m.seq(), m.target(), "", null));
       case ACK -> answered(now, m);
       case STRANGER -> stranger(now, m);
@@ -358,7 +375,9 @@
       replace(now, p, c);
     } else if (order == 0 && c.status() == Status.SUSPECT && p.suspicion.confirm(c.accuser())) {
       news.add(c.bare());
-      out.start(new MembershipTimer(MembershipTimer.Kind.SUSPICION, c.name()), Math.max(now, p.suspicion.end()));
+      out.start(
+          new MembershipTimer(MembershipTimer.Kind.SUSPICION, c.name()),
+          Math.max(now, p.suspicion.end()));
     }
   }
 
@@ -446,7 +465,8 @@
   private void suspect(long now, Peer p) {
     p.suspicion = new Suspicion(now, settings.interval(), living + 1);
     p.suspicion.confirm(p.claim.accuser());
-    out.start(new MembershipTimer(MembershipTimer.Kind.SUSPICION, p.claim.name()), p.suspicion.end());
+    out.start(
+        new MembershipTimer(MembershipTimer.Kind.SUSPICION, p.claim.name()), p.suspicion.end());
   }
 
   private void suspicionOver(long now, MembershipTimer t, long late) {
@@ -577,7 +597,9 @@
   private void probe(long now, long late) {
     meet(now);
     conclude(now, late);
-    out.start(MembershipTimer.of(MembershipTimer.Kind.PROBE), now + awareness.stretch(settings.interval()));
+    out.start(
+        MembershipTimer.of(MembershipTimer.Kind.PROBE),
+        now + awareness.stretch(settings.interval()));
     Peer p = yielded ? null : nextTarget();
     if (p == null) {
       return;
@@ -586,7 +608,9 @@
     out.send(
         p.claim.about().address(),
         message(GossipMessage.Kind.PING, probe.seq, probe.target, "", unlike(p, p.claim)));
-    out.start(MembershipTimer.of(MembershipTimer.Kind.DIRECT), now + awareness.stretch(settings.timeout()));
+    out.start(
+        MembershipTimer.of(MembershipTimer.Kind.DIRECT),
+        now + awareness.stretch(settings.timeout()));
   }
 
   private Peer nextTarget() {
@@ -633,11 +657,17 @@
     probe.asked = true;
     out.send(
         target.claim.about().address(),
-        message(GossipMessage.Kind.PING, probe.seq, probe.target, "", unlike(target, target.claim)));
+        message(
+            GossipMessage.Kind.PING, probe.seq, probe.target, "", unlike(target, target.claim)));
     for (Peer helper : some(HELPERS, probe.target)) {
       out.send(
           helper.claim.about().address(),
-          message(GossipMessage.Kind.ASK, probe.seq, probe.target, target.claim.about().address(), null));
+          message(
+              GossipMessage.Kind.ASK,
+              probe.seq,
+              probe.target,
+              target.claim.about().address(),
+              null));
     }
   }
 
@@ -656,7 +686,9 @@
             m.target(),
             "",
             target == null ? null : unlike(target, target.claim)));
-    out.start(new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(seq)), now + settings.timeout());
+    out.start(
+        new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(seq)),
+        now + settings.timeout());
   }
 
   private void answered(long now, GossipMessage m) {
@@ -708,7 +740,8 @@
     }
     if (yielded) {
       out.send(
-          peers.get(name).claim.about().address(), message(GossipMessage.Kind.CLASH, 0, name, "", null));
+          peers.get(name).claim.about().address(),
+          message(GossipMessage.Kind.CLASH, 0, name, "", null));
     }
     out.start(MembershipTimer.of(MembershipTimer.Kind.EXCHANGE), now + spread(untilExchange(now)));
   }
@@ -733,7 +766,8 @@
     }
     joinWait = alone ? Math.min(settings.reconnect(), 2 * joinWait) : FIRST_JOIN;
     out.start(
-        MembershipTimer.of(MembershipTimer.Kind.RECONNECT), now + spread(alone ? joinWait : settings.reconnect()));
+        MembershipTimer.of(MembershipTimer.Kind.RECONNECT),
+        now + spread(alone ? joinWait : settings.reconnect()));
   }
 
   /** Addresses where somebody should be and nobody is. */
@@ -774,7 +808,8 @@
     return drawn;
   }
 
-  private GossipMessage message(GossipMessage.Kind kind, long seq, String target, String address, Claim first) {
+  private GossipMessage message(
+      GossipMessage.Kind kind, long seq, String target, String address, Claim first) {
     int room = NEWS_BYTES - (first == null ? 0 : first.weight());
     List<Claim> riders = news.take(room, living + 1);
     if (first != null) {
--- a/src/main/java/umberrun/fleet/net/FleetCodec.java
+++ b/src/main/java/umberrun/fleet/net/FleetCodec.java
@@ -9,8 +9,8 @@
 import org.msgpack.core.MessageUnpacker;
 import umberrun.fleet.About;
 import umberrun.fleet.Claim;
-import umberrun.fleet.ProcessGeneration;
 import umberrun.fleet.GossipMessage;
+import umberrun.fleet.ProcessGeneration;
 
 /**
  * The bytes of datagrams and frames: arrays of MessagePack, to which later versions add at the end.
@@ -184,7 +184,8 @@
       int extra = extra(in.unpackArrayHeader(), DATAGRAM_FIELDS);
       known(in, false);
       GossipMessage.Kind kind = one(GossipMessage.Kind.values(), in.unpackInt());
-      GossipMessage m = new GossipMessage(kind, in.unpackLong(), text(in), text(in), claim(in), claims(in));
+      GossipMessage m =
+          new GossipMessage(kind, in.unpackLong(), text(in), text(in), claim(in), claims(in));
       if (m.from().about() == null) {
         throw new UndecodableException("a sender that says nothing of itself", false);
       }
@@ -235,7 +236,8 @@
   }
 
   /** Whether a member wrote it; an operator may have where that is allowed. */
-  private boolean known(MessageUnpacker in, boolean operators) throws IOException, UndecodableException {
+  private boolean known(MessageUnpacker in, boolean operators)
+      throws IOException, UndecodableException {
     int version = in.unpackInt();
     if (version != VERSION) {
       throw new UndecodableException("version " + version, true);
--- a/src/main/java/umberrun/fleet/net/FleetManager.java
+++ b/src/main/java/umberrun/fleet/net/FleetManager.java
@@ -24,21 +24,21 @@
 import umberrun.admission.ConnectionLimits;
 import umberrun.config.FleetOptions;
 import umberrun.core.Clock;
-import umberrun.core.Lifecycle;
 import umberrun.core.DispatchLoop;
+import umberrun.core.Lifecycle;
 import umberrun.fleet.About;
-import umberrun.fleet.MembershipChange;
 import umberrun.fleet.Claim;
-import umberrun.fleet.Membership;
 import umberrun.fleet.GossipMessage;
+import umberrun.fleet.Membership;
+import umberrun.fleet.MembershipChange;
 import umberrun.fleet.MembershipOutbox;
-import umberrun.fleet.Peer;
 import umberrun.fleet.MembershipSettings;
 import umberrun.fleet.MembershipTimer;
-import umberrun.workerlist.ConsulSource;
+import umberrun.fleet.Peer;
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 import umberrun.stats.EventLog;
+import umberrun.workerlist.ConsulSource;
 
 /**
  * The view of the fleet in a front end: carries the {@link Membership} on the one loop, tells it of
@@ -394,7 +394,8 @@
             .findFirst()
             .orElse(addresses.get(member));
     if (address != null) {
-      carrier.send(address, new FleetCodec.TopicMessage(topic, member, identity.name(), advertised, body));
+      carrier.send(
+          address, new FleetCodec.TopicMessage(topic, member, identity.name(), advertised, body));
     }
   }
 
@@ -532,7 +533,9 @@
               refresh();
             })
         .onFailure(
-            e -> membership.unreachable(address, e instanceof FleetTransport.Unreachable u && u.refused));
+            e ->
+                membership.unreachable(
+                    address, e instanceof FleetTransport.Unreachable u && u.refused));
   }
 
   @Override
--- a/src/main/java/umberrun/fleet/sim/FleetSimulation.java
+++ b/src/main/java/umberrun/fleet/sim/FleetSimulation.java
@@ -11,15 +11,15 @@
 import java.util.function.ToIntFunction;
 import java.util.random.RandomGenerator;
 import umberrun.fleet.About;
-import umberrun.fleet.MembershipChange;
 import umberrun.fleet.Claim;
-import umberrun.fleet.ProcessGeneration;
-import umberrun.fleet.Membership;
 import umberrun.fleet.GossipMessage;
+import umberrun.fleet.Membership;
+import umberrun.fleet.MembershipChange;
 import umberrun.fleet.MembershipOutbox;
-import umberrun.fleet.Peer;
 import umberrun.fleet.MembershipSettings;
 import umberrun.fleet.MembershipTimer;
+import umberrun.fleet.Peer;
+import umberrun.fleet.ProcessGeneration;
 import umberrun.sim.VirtualNetwork;
 
 /**
@@ -448,7 +448,8 @@
       }
     }
     if (living != n.process.living()) {
-      throw new InvariantViolation(n.name + " counts " + n.process.living() + " that live and holds " + living);
+      throw new InvariantViolation(
+          n.name + " counts " + n.process.living() + " that live and holds " + living);
     }
     if (n.process.peers().size() > settings.members()
         || n.process.queued() > settings.members() + 1) {
--- a/src/main/java/umberrun/front/CallFields.java
+++ b/src/main/java/umberrun/front/CallFields.java
@@ -1,7 +1,7 @@
 package umberrun.front;
 
 import io.vertx.core.buffer.Buffer;
-import saddlestall.Dispatcher.Effect;
+import saddlestall.Dispatcher.Idempotency;
 import saddlestall.Dispatcher.Settings;
 import umberrun.core.Request.ResourceHints;
 
@@ -53,7 +53,8 @@
 
   /** Guards rule 2: the workers can't tell a repeat of a keyed call without its key. */
   public static void requireKey(Settings settings, int callClass, Buffer key) throws BadField {
-    if (key == null && settings.classes().get(callClass).effect() == Effect.KEYED) {
+    if (key == null
+        && settings.classes().get(callClass).idempotency() == Idempotency.DEDUPLICATED) {
       throw new BadField("a call of this class needs an idempotency key");
     }
   }
--- a/src/main/java/umberrun/front/invoke/InvokeServer.java
+++ b/src/main/java/umberrun/front/invoke/InvokeServer.java
@@ -26,11 +26,11 @@
 import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.config.Config.Names;
 import umberrun.core.Clock;
-import umberrun.core.Lifecycle;
+import umberrun.core.DispatchLoop;
 import umberrun.core.Invocation;
 import umberrun.core.InvocationRegistry;
 import umberrun.core.InvocationRegistry.KeyReused;
-import umberrun.core.DispatchLoop;
+import umberrun.core.Lifecycle;
 import umberrun.core.Request;
 import umberrun.core.Result;
 import umberrun.front.CallFields;
@@ -313,7 +313,8 @@
     CallFields.requireKey(owner.settings(), callClass, key);
     CallClass kind = owner.settings().classes().get(callClass);
     long wait = preferences.waitMillis() * 1_000;
-    long patience = preferences.async() || wait < 0 ? kind.giveUp() : Math.min(wait, kind.giveUp());
+    long patience =
+        preferences.async() || wait < 0 ? kind.timeout() : Math.min(wait, kind.timeout());
     return new Request(
         Buffer.buffer(String.format("%016x", random.nextLong())),
         callClass,
--- a/src/main/java/umberrun/learning/FactFilter.java
+++ b/src/main/java/umberrun/learning/FactFilter.java
@@ -1,6 +1,6 @@
 package umberrun.learning;
 
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.learning.Fact.Kind;
 
 /**
@@ -13,7 +13,7 @@
    *
    * @param since when it last started, as told, 0 for long past
    */
-  public record WorkerStatus(State state, long since) {}
+  public record WorkerStatus(WorkerState state, long since) {}
 
   private final long coldSpan;
   private final long most;
@@ -39,7 +39,8 @@
       return true;
     }
     if (standing == null
-        || standing.state() != State.READY) { // guards drains and bans: no fact revives a worker
+        || standing.state()
+            != WorkerState.READY) { // guards drains and bans: no fact revives a worker
       return false;
     }
     if (fact.seenAt()
--- a/src/main/java/umberrun/lease/sim/LeaseModel.java
+++ b/src/main/java/umberrun/lease/sim/LeaseModel.java
@@ -11,8 +11,8 @@
 import umberrun.consensus.RegisterValue;
 import umberrun.consensus.Voter;
 import umberrun.consensus.sim.RegisterModel;
-import umberrun.lease.LeaseElector;
 import umberrun.lease.FenceRegistry;
+import umberrun.lease.LeaseElector;
 import umberrun.sim.ModelChecker;
 
 /**
@@ -265,7 +265,8 @@
   @Override
   public boolean take(int choice) {
     boolean taken = step(choice);
-    questions.removeIf(s -> (late == 0 || !(s.message instanceof ConsensusMessage.Accept)) && !isAwaited(s));
+    questions.removeIf(
+        s -> (late == 0 || !(s.message instanceof ConsensusMessage.Accept)) && !isAwaited(s));
     lateAnswers.removeIf(s -> !isAwaited(s));
     return taken;
   }
@@ -408,7 +409,8 @@
     }
     crashes--;
     voters[v] =
-        new Voter(fault == LeaseSimulation.Fault.VOTES_WITHOUT_FOLDER ? Map.of() : synced.get(v), 1);
+        new Voter(
+            fault == LeaseSimulation.Fault.VOTES_WITHOUT_FOLDER ? Map.of() : synced.get(v), 1);
     synced.set(v, voters[v].slots().isEmpty() ? Map.of() : synced.get(v));
     lateAnswers.removeIf(s -> s.voter == v); // with what was not synced
     return true;
--- a/src/main/java/umberrun/ops/OperatorServer.java
+++ b/src/main/java/umberrun/ops/OperatorServer.java
@@ -63,7 +63,8 @@
 
   private final Set<HttpConnection> all = new HashSet<>();
 
-  public OperatorServer(Vertx vertx, OperatorCommands verbs, Counters counters, ConnectionLimits account) {
+  public OperatorServer(
+      Vertx vertx, OperatorCommands verbs, Counters counters, ConnectionLimits account) {
     this.vertx = vertx;
     this.verbs = verbs;
     this.counters = counters;
--- a/src/main/java/umberrun/worker/PendingCommand.java
+++ b/src/main/java/umberrun/worker/PendingCommand.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.buffer.Buffer;
 import java.util.List;
-import saddlestall.Dispatcher.Code;
+import saddlestall.Dispatcher.OutcomeCode;
 
 /** A command to a worker and the wait for its answer. Ends once: answered, lost, or its time up. */
 abstract class PendingCommand {
@@ -51,5 +51,5 @@
   abstract void answered(List<Buffer> parts);
 
   /** No answer will come. */
-  abstract void lost(Code code);
+  abstract void lost(OutcomeCode code);
 }
--- a/src/main/java/umberrun/worker/ReplyFields.java
+++ b/src/main/java/umberrun/worker/ReplyFields.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.Field;
-import saddlestall.Dispatcher.Note;
+import saddlestall.Dispatcher.CopyStatus;
+import saddlestall.Dispatcher.OutcomeCode;
+import saddlestall.Dispatcher.ReportField;
 
 /** The fields of an answer: {@code name=value,name=value}, or {@code -} where there are none. */
 final class ReplyFields {
@@ -21,13 +21,13 @@
     }
   }
 
-  Note note() {
+  CopyStatus note() {
     return switch (values.getOrDefault("n", "")) {
-      case "w" -> Note.WARM;
-      case "c" -> Note.BEGAN_LOAD;
-      case "j" -> Note.JOINED_LOAD;
-      case "f" -> Note.LOAD_FAILED;
-      default -> Note.NONE;
+      case "w" -> CopyStatus.WARM;
+      case "c" -> CopyStatus.BEGAN_LOAD;
+      case "j" -> CopyStatus.JOINED_LOAD;
+      case "f" -> CopyStatus.LOAD_FAILED;
+      default -> CopyStatus.NONE;
     };
   }
 
@@ -43,7 +43,7 @@
   /**
    * The load report in the order that the settings give its fields, or null where there is none.
    */
-  float[] report(List<Field> fields) {
+  float[] report(List<ReportField> fields) {
     String text = values.get("l");
     if (text == null) {
       return null;
@@ -63,28 +63,28 @@
     return report;
   }
 
-  private static Field field(String word) {
+  private static ReportField field(String word) {
     return switch (word) {
-      case "inflight", "outstanding" -> Field.OUTSTANDING;
-      case "queue", "backlog" -> Field.QUEUE;
-      case "util", "utilization" -> Field.UTILIZATION;
-      case "latency_ms", "recent_ms" -> Field.RECENT_MS;
-      case "qps", "throughput" -> Field.THROUGHPUT;
-      case "eps", "errors_per_s" -> Field.ERRORS;
-      case "x0" -> Field.PINNED_MEMORY;
-      case "x1" -> Field.LOADS;
-      default -> Field.OTHER;
+      case "inflight", "outstanding" -> ReportField.OUTSTANDING;
+      case "queue", "backlog" -> ReportField.QUEUE;
+      case "util", "utilization" -> ReportField.UTILIZATION;
+      case "latency_ms", "recent_ms" -> ReportField.RECENT_MS;
+      case "qps", "throughput" -> ReportField.THROUGHPUT;
+      case "eps", "errors_per_s" -> ReportField.ERRORS;
+      case "x0" -> ReportField.PINNED_MEMORY;
+      case "x1" -> ReportField.LOADS;
+      default -> ReportField.OTHER;
     };
   }
 
   /** What an answer's word says. An unknown one proves nothing, as an error does. */
-  static Code code(Buffer word) {
+  static OutcomeCode code(Buffer word) {
     return switch (word.toString()) {
-      case "200" -> Code.OK;
-      case "404" -> Code.MISS;
-      case "503" -> Code.FULL;
-      case "504" -> Code.MOOT;
-      default -> Code.ERROR;
+      case "200" -> OutcomeCode.OK;
+      case "404" -> OutcomeCode.MISS;
+      case "503" -> OutcomeCode.FULL;
+      case "504" -> OutcomeCode.MOOT;
+      default -> OutcomeCode.ERROR;
     };
   }
 }
--- a/src/main/java/umberrun/worker/WorkerConnection.java
+++ b/src/main/java/umberrun/worker/WorkerConnection.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import saddlestall.Dispatcher.Code;
+import saddlestall.Dispatcher.OutcomeCode;
 import umberrun.core.Clock;
 
 /** One connection to a worker: what is out on it, and what waits to be written. */
@@ -159,7 +159,7 @@
 
   /** The connection never came up: nothing that waits for it has run. */
   void refused() {
-    end(Code.CONNECT_FAILED);
+    end(OutcomeCode.CONNECT_FAILED);
   }
 
   int load() {
@@ -195,7 +195,7 @@
   }
 
   /** Gives an exchange up before its time. */
-  boolean withdraw(Buffer id, Code code) {
+  boolean withdraw(Buffer id, OutcomeCode code) {
     PendingCommand x = out.get(id);
     if (x == null) {
       x = waiting.stream().filter(w -> w.id.equals(id)).findFirst().orElse(null);
@@ -215,7 +215,7 @@
     retired = true;
     List<PendingCommand> unsent = new ArrayList<>(waiting);
     waiting.clear();
-    unsent.forEach(x -> lose(x, Code.MOOT));
+    unsent.forEach(x -> lose(x, OutcomeCode.MOOT));
     closeIfIdle();
   }
 
@@ -233,7 +233,7 @@
   }
 
   void close() {
-    end(Code.RESET);
+    end(OutcomeCode.RESET);
   }
 
   private ChannelHandlerContext handlers() {
@@ -252,7 +252,7 @@
       }
       if (withheld || !x.isWanted(now)) {
         drop(x);
-        x.lost(Code.MOOT);
+        x.lost(OutcomeCode.MOOT);
         continue;
       }
       socket.write(x.command(now));
@@ -270,14 +270,14 @@
   private void expired(PendingCommand x) {
     x.timer = -1;
     boolean silent = x.written && heardAt < x.writtenAt;
-    giveUp(x, Code.TIMEOUT);
+    giveUp(x, OutcomeCode.TIMEOUT);
     if (silent) { // guards against a machine that is cut off: its connections stay open and say
       // nothing
       retire();
     }
   }
 
-  private void giveUp(PendingCommand x, Code code) {
+  private void giveUp(PendingCommand x, OutcomeCode code) {
     boolean written = out.remove(x.id) != null;
     waiting.remove(x);
     drop(x);
@@ -287,7 +287,7 @@
         socket.write(x.withdrawal());
       }
     }
-    x.lost(written ? code : Code.MOOT);
+    x.lost(written ? code : OutcomeCode.MOOT);
     watchIdle();
   }
 
@@ -316,7 +316,7 @@
     }
   }
 
-  private void end(Code code) {
+  private void end(OutcomeCode code) {
     if (closed) {
       return;
     }
@@ -335,11 +335,11 @@
     out.clear();
     waiting.clear();
     sent.forEach(x -> lose(x, code));
-    unsent.forEach(x -> lose(x, Code.CONNECT_FAILED)); // never written, so it never ran
+    unsent.forEach(x -> lose(x, OutcomeCode.CONNECT_FAILED)); // never written, so it never ran
     home.closed(this);
   }
 
-  private void lose(PendingCommand x, Code code) {
+  private void lose(PendingCommand x, OutcomeCode code) {
     drop(x);
     x.lost(code);
   }
--- a/src/main/java/umberrun/worker/WorkerPool.java
+++ b/src/main/java/umberrun/worker/WorkerPool.java
@@ -11,17 +11,17 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saddlestall.Dispatcher.Code;
+import saddlestall.Dispatcher.OutcomeCode;
 import saddlestall.Dispatcher.Settings;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.admission.ConnectionLimits;
 import umberrun.admission.ConnectionLimits.Purpose;
 import umberrun.config.Config.Names;
 import umberrun.core.Attempt;
 import umberrun.core.Clock;
 import umberrun.core.Endpoint;
-import umberrun.core.WorkerLeaseView;
 import umberrun.core.PreloadRequest;
+import umberrun.core.WorkerLeaseView;
 import umberrun.core.WorkerProbe;
 import umberrun.core.WorkerTransport;
 import umberrun.stats.Counters;
@@ -98,7 +98,7 @@
       stopAt = stop;
       if (moved
           || e.state()
-              != State.READY) { // nothing new is sent there, and others need the descriptors
+              != WorkerState.READY) { // nothing new is sent there, and others need the descriptors
         List.copyOf(open).forEach(WorkerConnection::retire);
       }
       if (stop <= clock.now()) {
@@ -112,7 +112,7 @@
     public boolean mayStart(long now) {
       // Gone: another worker may have its address by now. The lease: a drain that discovery could
       // not tell counts as told all the same.
-      return now < stopAt && endpoint.state() != State.GONE && now < leases.leaseUntil(id);
+      return now < stopAt && endpoint.state() != WorkerState.GONE && now < leases.leaseUntil(id);
     }
 
     @Override
@@ -125,7 +125,9 @@
      */
     private void closeStuck() {
       if (!mayStart(clock.now())) {
-        List.copyOf(open).stream().filter(WorkerConnection::isStuck).forEach(WorkerConnection::close);
+        List.copyOf(open).stream()
+            .filter(WorkerConnection::isStuck)
+            .forEach(WorkerConnection::close);
       }
     }
 
@@ -141,7 +143,7 @@
      * has none.
      */
     private void forgetIfGone() {
-      if (open.isEmpty() && endpoint.state() == State.GONE) {
+      if (open.isEmpty() && endpoint.state() == WorkerState.GONE) {
         workers.values().remove(this);
       }
     }
@@ -158,7 +160,7 @@
         best = connect();
       }
       if (best == null) { // guards the descriptors: nothing ran, and the worker is not to blame
-        x.lost(Code.MOOT);
+        x.lost(OutcomeCode.MOOT);
       } else {
         best.submit(x);
       }
@@ -179,7 +181,8 @@
     }
 
     private WorkerConnection connect() {
-      WorkerConnection link = new WorkerConnection(vertx, clock, this, (long) (IDLE_PART * names.idleCloseMillis()));
+      WorkerConnection link =
+          new WorkerConnection(vertx, clock, this, (long) (IDLE_PART * names.idleCloseMillis()));
       open.add(link);
       counters.add(Count.WORKER_CONNECTIONS);
       client
@@ -211,7 +214,7 @@
   private void submit(int worker, PendingCommand x) {
     Worker w = workers.get(worker);
     if (w == null) {
-      x.lost(Code.CONNECT_FAILED);
+      x.lost(OutcomeCode.CONNECT_FAILED);
     } else {
       w.submit(x);
     }
@@ -250,7 +253,7 @@
 
           @Override
           boolean isSettledBy(List<Buffer> parts) {
-            return parts.size() > 1 && ReplyFields.code(parts.get(1)) == Code.OK;
+            return parts.size() > 1 && ReplyFields.code(parts.get(1)) == OutcomeCode.OK;
           }
 
           @Override
@@ -264,7 +267,7 @@
           }
 
           @Override
-          void lost(Code code) {
+          void lost(OutcomeCode code) {
             attempt.end(AttemptResult.of(code));
           }
         });
@@ -276,16 +279,16 @@
    */
   private AttemptResult ending(List<Buffer> parts) {
     if (parts.size() != 4) {
-      return AttemptResult.of(Code.ERROR);
+      return AttemptResult.of(OutcomeCode.ERROR);
     }
     ReplyFields f = new ReplyFields(parts.get(2));
-    Code code = ReplyFields.code(parts.get(1));
-    boolean counted = code == Code.OK || code == Code.FULL;
+    OutcomeCode code = ReplyFields.code(parts.get(1));
+    boolean counted = code == OutcomeCode.OK || code == OutcomeCode.FULL;
     return new AttemptResult(
         code,
         f.note(),
         counted ? f.count("depth") : -1,
-        f.report(settings.report().fields()),
+        f.report(settings.loadReportFormat().fields()),
         parts.get(3));
   }
 
@@ -294,7 +297,7 @@
     Worker w = workers.get(attempt.worker());
     if (w != null) {
       List.copyOf(w.open).stream()
-          .anyMatch(l -> l.withdraw(attempt.request().rid(), Code.CANCELLED));
+          .anyMatch(l -> l.withdraw(attempt.request().rid(), OutcomeCode.CANCELLED));
     }
   }
 
@@ -323,12 +326,12 @@
           @Override
           void answered(List<Buffer> parts) {
             order.end(
-                parts.size() < 2 ? Code.ERROR : ReplyFields.code(parts.get(1)),
+                parts.size() < 2 ? OutcomeCode.ERROR : ReplyFields.code(parts.get(1)),
                 parts.size() < 3 ? 0 : new ReplyFields(parts.get(2)).count("pods"));
           }
 
           @Override
-          void lost(Code code) {
+          void lost(OutcomeCode code) {
             order.end(code, 0);
           }
         });
@@ -348,14 +351,14 @@
           void answered(List<Buffer> parts) {
             boolean alive = parts.size() > 1 && parts.get(1).toString().equals("alive");
             probing.end(
-                alive ? Code.OK : Code.ERROR,
+                alive ? OutcomeCode.OK : OutcomeCode.ERROR,
                 parts.size() < 3
                     ? null
-                    : new ReplyFields(parts.get(2)).report(settings.report().fields()));
+                    : new ReplyFields(parts.get(2)).report(settings.loadReportFormat().fields()));
           }
 
           @Override
-          void lost(Code code) {
+          void lost(OutcomeCode code) {
             probing.end(code, null);
           }
         });
@@ -380,7 +383,7 @@
           void answered(List<Buffer> parts) {}
 
           @Override
-          void lost(Code code) {}
+          void lost(OutcomeCode code) {}
         });
   }
 
--- a/src/main/java/umberrun/workerlist/ChangeLogSource.java
+++ b/src/main/java/umberrun/workerlist/ChangeLogSource.java
@@ -14,11 +14,11 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.List;
 import saddlestall.Dispatcher.ListKind;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.config.Config.Names;
 import umberrun.core.Clock;
-import umberrun.core.Endpoint;
 import umberrun.core.DispatchLoop;
+import umberrun.core.Endpoint;
 import umberrun.stats.Counters;
 
 /**
@@ -153,11 +153,12 @@
         (long) number(o, "since_ms") * 1_000);
   }
 
-  private static State state(String word) {
+  private static WorkerState state(String word) {
     return switch (word) {
-      case "in_service" -> State.READY;
-      case "terminated" -> State.GONE;
-      default -> State.DRAINING; // an unknown word gets the strictest reading that keeps the worker
+      case "in_service" -> WorkerState.READY;
+      case "terminated" -> WorkerState.GONE;
+      default ->
+          WorkerState.DRAINING; // an unknown word gets the strictest reading that keeps the worker
     };
   }
 }
--- a/src/main/java/umberrun/workerlist/ConsulSource.java
+++ b/src/main/java/umberrun/workerlist/ConsulSource.java
@@ -20,12 +20,12 @@
 import java.util.List;
 import java.util.Map;
 import saddlestall.Dispatcher.ListKind;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.config.Config.Names;
 import umberrun.config.OperatorFile;
 import umberrun.core.Clock;
-import umberrun.core.Endpoint;
 import umberrun.core.DispatchLoop;
+import umberrun.core.Endpoint;
 import umberrun.stats.Counters;
 
 /**
@@ -229,13 +229,13 @@
     return millis.isEmpty() ? 0 : Long.parseLong(millis) * 1_000;
   }
 
-  private static State state(JsonObject instance) {
+  private static WorkerState state(JsonObject instance) {
     for (JsonElement check : instance.getAsJsonArray("Checks")) {
       if (text(check.getAsJsonObject(), "Status").equals("critical")) {
-        return State.DRAINING;
+        return WorkerState.DRAINING;
       }
     }
-    return State.READY;
+    return WorkerState.READY;
   }
 
   private static String encoded(String part) {
--- a/src/main/java/umberrun/works/MachineOrder.java
+++ b/src/main/java/umberrun/works/MachineOrder.java
@@ -129,7 +129,8 @@
   }
 
   /** Functions in use of which no machine that stays holds a copy but this one, in order. */
-  public static List<String> lastCopies(String machine, Ledger l, MachineView w, List<FrontEndReport> reports) {
+  public static List<String> lastCopies(
+      String machine, Ledger l, MachineView w, List<FrontEndReport> reports) {
     return lastCopies(machine, l, w, copies(reports));
   }
 
@@ -167,7 +168,8 @@
    * Where a function's copy is to go: to a ready machine of the same hall with the least under way,
    * else of any.
    */
-  public static String target(String machine, Ledger l, MachineView w, List<FrontEndReport> reports) {
+  public static String target(
+      String machine, Ledger l, MachineView w, List<FrontEndReport> reports) {
     MachineView.ObservedMachine from = w.of(machine);
     Map<String, Integer> underWay = new HashMap<>();
     reports.forEach(r -> r.underWay().forEach((name, n) -> underWay.merge(name, n, Integer::sum)));
--- a/src/main/java/umberrun/works/PlanExecutor.java
+++ b/src/main/java/umberrun/works/PlanExecutor.java
@@ -110,7 +110,8 @@
 
   // ---------------------------------------------------------------- machines
 
-  private PlannedStep step(long inStage, Ledger l, MachineView w, List<FrontEndReport> reports, Machine m) {
+  private PlannedStep step(
+      long inStage, Ledger l, MachineView w, List<FrontEndReport> reports, Machine m) {
     Plan p = l.plan(m.plan()).orElseThrow();
     MachineView.ObservedMachine s = w.of(m.name());
     String by =
@@ -210,7 +211,8 @@
     return reports.stream()
         .anyMatch(
             r -> {
-              FrontEndReport.BanProgress q = r.member().equals(member) ? r.out().get(m.name()) : null;
+              FrontEndReport.BanProgress q =
+                  r.member().equals(member) ? r.out().get(m.name()) : null;
               return q != null && q.ban() == m.ban() && (!quiet || q.out() == 0);
             });
   }
@@ -306,7 +308,9 @@
           String target = MachineOrder.target(m.name(), l, w, reports);
           reports.stream()
               .filter(r -> r.copies().containsKey(function))
-              .max(Comparator.comparingDouble(FrontEndReport::taken).thenComparing(r -> r.member().name()))
+              .max(
+                  Comparator.comparingDouble(FrontEndReport::taken)
+                      .thenComparing(r -> r.member().name()))
               .ifPresent(
                   r -> {
                     if (target != null) {
--- a/src/main/java/umberrun/works/PlanParticipant.java
+++ b/src/main/java/umberrun/works/PlanParticipant.java
@@ -101,7 +101,8 @@
     Map<String, FrontEndReport.BanProgress> quiet = new LinkedHashMap<>();
     if (!accompanied && ledger.isOnRoll(self)) {
       applied.forEach(
-          (machine, ban) -> quiet.put(machine, new FrontEndReport.BanProgress(ban, out.applyAsInt(machine))));
+          (machine, ban) ->
+              quiet.put(machine, new FrontEndReport.BanProgress(ban, out.applyAsInt(machine))));
     }
     return new FrontEndReport(
         self, quiet, new HashSet<>(resumed.keySet()), underWay, copies, taken, refused);
--- a/src/main/java/umberrun/works/net/WorksCodec.java
+++ b/src/main/java/umberrun/works/net/WorksCodec.java
@@ -17,7 +17,12 @@
 final class WorksCodec {
   /** One message; what it has no use for is absent. */
   record WorksMessage(
-      Kind kind, long version, String ledger, FrontEndReport report, String function, String machine) {
+      Kind kind,
+      long version,
+      String ledger,
+      FrontEndReport report,
+      String function,
+      String machine) {
     /** ASK wants the ledger that the other knows. */
     enum Kind {
       LEDGER,
--- a/src/main/java/umberrun/works/net/WorksManager.java
+++ b/src/main/java/umberrun/works/net/WorksManager.java
@@ -25,9 +25,9 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.function.UnaryOperator;
+import umberrun.config.WorksOptions;
 import umberrun.consensus.RegisterValue;
 import umberrun.consensus.net.RegisterManager;
-import umberrun.config.WorksOptions;
 import umberrun.core.Clock;
 import umberrun.core.DispatchLoop;
 import umberrun.fleet.Peer;
@@ -36,17 +36,17 @@
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 import umberrun.stats.EventLog;
-import umberrun.works.PlanParticipant;
-import umberrun.works.PlanExecutor;
+import umberrun.works.FrontEndReport;
 import umberrun.works.Ledger;
 import umberrun.works.Ledger.Machine;
 import umberrun.works.Ledger.Member;
 import umberrun.works.Ledger.Plan;
 import umberrun.works.Ledger.Refused;
 import umberrun.works.MachineOrder;
-import umberrun.works.FrontEndReport;
-import umberrun.works.Stage;
 import umberrun.works.MachineView;
+import umberrun.works.PlanExecutor;
+import umberrun.works.PlanParticipant;
+import umberrun.works.Stage;
 import umberrun.works.net.WorksCodec.WorksMessage;
 
 /**
@@ -223,7 +223,9 @@
   private void ask() {
     for (Peer p : fleet.peers()) {
       if (p.claim().isLiving() && asked.add(p.claim().name())) {
-        send(p.claim().name(), new WorksMessage(WorksMessage.Kind.ASK, crew.version(), null, null, null, null));
+        send(
+            p.claim().name(),
+            new WorksMessage(WorksMessage.Kind.ASK, crew.version(), null, null, null, null));
       }
     }
   }
@@ -500,7 +502,9 @@
       if (m.member().equals(self.name())) {
         move(m.function(), m.to());
       } else {
-        send(m.member(), new WorksMessage(WorksMessage.Kind.MOVE, 0, null, null, m.function(), m.to()));
+        send(
+            m.member(),
+            new WorksMessage(WorksMessage.Kind.MOVE, 0, null, null, m.function(), m.to()));
       }
     }
     PlanExecutor.PlannedStep wanted = l.isActive() ? mine.next(clock.now(), l, w, told) : null;
@@ -540,7 +544,8 @@
     }
     for (Machine m : crew.ledger().machines()) {
       seen.computeIfAbsent(
-          m.name(), n -> new MachineView.ObservedMachine(m.hall(), "", false, true, 0, false, false));
+          m.name(),
+          n -> new MachineView.ObservedMachine(m.hall(), "", false, true, 0, false, false));
     }
     return new MachineView(seen);
   }
@@ -578,7 +583,9 @@
           learn(v);
           counters.add(why[0] == null ? Count.WORKS_STEPS : Count.WORKS_REFUSED);
           if (v != null && v.version() > known) {
-            toAll(new WorksMessage(WorksMessage.Kind.LEDGER, v.version(), v.text(), null, null, null));
+            toAll(
+                new WorksMessage(
+                    WorksMessage.Kind.LEDGER, v.version(), v.text(), null, null, null));
           }
           then.over(
               v == null
@@ -625,7 +632,12 @@
               send(
                   from,
                   new WorksMessage(
-                      WorksMessage.Kind.LEDGER, crew.version(), crew.ledger().text(), null, null, null));
+                      WorksMessage.Kind.LEDGER,
+                      crew.version(),
+                      crew.ledger().text(),
+                      null,
+                      null,
+                      null));
             }
             drive();
           }
@@ -635,7 +647,13 @@
           if (crew.version() > w.version()) {
             send(
                 from,
-                new WorksMessage(WorksMessage.Kind.LEDGER, crew.version(), crew.ledger().text(), null, null, null));
+                new WorksMessage(
+                    WorksMessage.Kind.LEDGER,
+                    crew.version(),
+                    crew.ledger().text(),
+                    null,
+                    null,
+                    null));
           }
         }
       }
--- a/src/main/java/umberrun/works/sim/WorksSimulation.java
+++ b/src/main/java/umberrun/works/sim/WorksSimulation.java
@@ -12,17 +12,17 @@
 import java.util.function.BiConsumer;
 import java.util.function.UnaryOperator;
 import umberrun.sim.VirtualNetwork;
-import umberrun.works.PlanParticipant;
-import umberrun.works.PlanExecutor;
+import umberrun.works.FrontEndReport;
 import umberrun.works.Ledger;
 import umberrun.works.Ledger.Machine;
 import umberrun.works.Ledger.Member;
 import umberrun.works.Ledger.Plan;
 import umberrun.works.Ledger.Refused;
 import umberrun.works.MachineOrder;
-import umberrun.works.FrontEndReport;
-import umberrun.works.Stage;
 import umberrun.works.MachineView;
+import umberrun.works.PlanExecutor;
+import umberrun.works.PlanParticipant;
+import umberrun.works.Stage;
 
 /**
  * Front ends that send calls to machines all the time, and plans that take the machines out, on the
@@ -441,7 +441,8 @@
     sends++;
     Machine m = ledger.machine(p.name);
     if (m != null && m.stage() == Stage.FREE && m.forced().isEmpty() && !byHand.contains(p.name)) {
-      throw new InvariantViolation(from + " sent to " + p.name + ", which is free for work, at " + net.now());
+      throw new InvariantViolation(
+          from + " sent to " + p.name + ", which is free for work, at " + net.now());
     }
     p.copies.add(function);
     if (p.copies.size() > COPIES_EACH) {
@@ -481,7 +482,8 @@
     long missing = after.machines().stream().filter(o -> o.stage().isMissing()).count();
     Plan p = after.plan(m.plan()).orElseThrow();
     if (missing > p.atOnce()) {
-      throw new InvariantViolation(missing + " are missing, " + p.atOnce() + " may be, at " + net.now());
+      throw new InvariantViolation(
+          missing + " are missing, " + p.atOnce() + " may be, at " + net.now());
     }
     if (p.oneHall()
         && after.machines().stream()
@@ -500,7 +502,8 @@
                   })
               .count();
       if (ready < p.floor() - slack) {
-        throw new InvariantViolation(ready + " are ready, " + p.floor() + " must stay, at " + net.now());
+        throw new InvariantViolation(
+            ready + " are ready, " + p.floor() + " must stay, at " + net.now());
       }
     }
   }
--- a/src/test/java/saddlestall/AdaptiveDispatcherTest.java
+++ b/src/test/java/saddlestall/AdaptiveDispatcherTest.java
@@ -27,17 +27,17 @@
 /** Rule by rule, and failure by failure. */
 class AdaptiveDispatcherTest {
   private static DispatcherFixture bench() {
-    return new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 7);
+    return new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 7);
   }
 
   // ---------------------------------------------------------------- rules 1 and 2
 
   @ParameterizedTest
   @EnumSource(
-      value = Code.class,
+      value = OutcomeCode.class,
       names = {"OK", "CANCELLED", "MOOT"},
       mode = EnumSource.Mode.EXCLUDE)
-  void unsafeCallsGoOnOnlyWhenNothingRan(Code code) {
+  void unsafeCallsGoOnOnlyWhenNothingRan(OutcomeCode code) {
     DispatcherFixture b = bench().list(4).call(1, UNSAFE, 9);
     b.at(20).outcome(b.lastSend(), 0, code, 20);
     assertEquals(code.notRun ? 2 : 1, b.sends(1).size());
@@ -47,9 +47,9 @@
 
   @ParameterizedTest
   @EnumSource(
-      value = Code.class,
+      value = OutcomeCode.class,
       names = {"ERROR", "FULL", "CONNECT_FAILED", "RESET", "MISS"})
-  void safeCallsGoOnElsewhere(Code code) {
+  void safeCallsGoOnElsewhere(OutcomeCode code) {
     DispatcherFixture b = bench().list(4).call(1, SAFE, 9);
     Send first = b.lastSend();
     b.at(20).outcome(first, 0, code, 20);
@@ -60,13 +60,16 @@
   @Test
   void keyedCallsStayInTheirCellAndTime() {
     for (long seed = 0; seed < 20; seed++) {
-      DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.CELL), seed).list(6).call(1, KEYED, 9);
+      DispatcherFixture b =
+          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.CELL), seed)
+              .list(6)
+              .call(1, KEYED, 9);
       Send first = b.lastSend();
-      b.at(20).outcome(first, 0, Code.ERROR, 20);
+      b.at(20).outcome(first, 0, OutcomeCode.ERROR, 20);
       assertEquals(2, b.sends(1).size());
       assertEquals(first.worker() % 2, b.lastSend().worker() % 2);
-      b.at(1100).outcome(b.lastSend(), 1, Code.ERROR, 1100);
-      b.pass(1400).event(new Due(1));
+      b.at(1100).outcome(b.lastSend(), 1, OutcomeCode.ERROR, 1100);
+      b.pass(1400).event(new TimerFired(1));
       assertEquals(2, b.sends(1).size());
       assertTrue(b.failed(1));
     }
@@ -75,11 +78,11 @@
   @Test
   void theDeadlineGetsItsAnswer() {
     DispatcherFixture b = bench().list(4).call(1, UNSAFE, 9).call(2, SAFE, 9);
-    b.at(2500).event(new Due(1)).event(new Due(2));
+    b.at(2500).event(new TimerFired(1)).event(new TimerFired(2));
     assertTrue(b.failed(1));
     assertTrue(b.refused(2));
     int before = b.actions.size();
-    b.at(1).outcome(b.sends(1).get(0), 0, Code.TIMEOUT, 2501);
+    b.at(1).outcome(b.sends(1).get(0), 0, OutcomeCode.TIMEOUT, 2501);
     assertEquals(before, b.actions.size());
   }
 
@@ -90,14 +93,14 @@
     b.at(100).list(2);
     assertEquals(1, b.sends(1).size());
     DispatcherFixture none = bench().call(1, UNSAFE, 9).pass(2500);
-    assertTrue(none.event(new Due(1)).refused(1));
+    assertTrue(none.event(new TimerFired(1)).refused(1));
   }
 
   @Test
   void attemptsAreLimited() {
     DispatcherFixture b = bench().list(8).call(1, SAFE, 9);
     for (int i = 0; i < 4; i++) {
-      b.at(5).outcome(b.lastSend(), i, Code.CONNECT_FAILED, 5);
+      b.at(5).outcome(b.lastSend(), i, OutcomeCode.CONNECT_FAILED, 5);
     }
     assertEquals(4, b.sends(1).size());
     assertTrue(b.refused(1));
@@ -107,13 +110,13 @@
   void strayEventsAreIgnored() {
     DispatcherFixture b = bench().list(2);
     int before = b.actions.size();
-    b.event(new Outcome(5, 0, 1, Code.OK, 5, true, Note.NONE, -1, null))
-        .event(new Due(77))
-        .event(new Left(8))
-        .event(new Probed(1, 99, Code.OK, null))
-        .event(new Loaded(1, 1, 99, Code.OK, 3))
-        .event(new Started(5, 0, 1))
-        .event(new Heard(1, new byte[3]));
+    b.event(new AttemptOutcome(5, 0, 1, OutcomeCode.OK, 5, true, CopyStatus.NONE, -1, null))
+        .event(new TimerFired(77))
+        .event(new ClientDisconnected(8))
+        .event(new ProbeResult(1, 99, OutcomeCode.OK, null))
+        .event(new PreloadResult(1, 1, 99, OutcomeCode.OK, 3))
+        .event(new StreamStarted(5, 0, 1))
+        .event(new PeerMessage(1, new byte[3]));
     assertEquals(before, b.actions.size());
   }
 
@@ -122,11 +125,15 @@
   @Test
   void drainingAndGoneWorkersGetNothing() {
     DispatcherFixture b = bench().list(3);
-    b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(1, State.DRAINING, 0))));
     b.event(
-        new Members(
+        new WorkerListUpdate(
+            ListKind.DELTA, List.of(DispatcherFixture.member(1, WorkerState.DRAINING, 0))));
+    b.event(
+        new WorkerListUpdate(
             ListKind.FULL,
-            List.of(DispatcherFixture.member(1, State.DRAINING, 0), DispatcherFixture.member(3, State.READY, 0))));
+            List.of(
+                DispatcherFixture.member(1, WorkerState.DRAINING, 0),
+                DispatcherFixture.member(3, WorkerState.READY, 0))));
     for (int i = 0; i < 50; i++) {
       b.call(i, SAFE, i);
     }
@@ -137,13 +144,15 @@
   @Test
   void aColdWorkerGetsItsShareOnly() {
     DispatcherFixture b = bench().list(3);
-    b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(9, State.READY, b.now))));
+    b.event(
+        new WorkerListUpdate(
+            ListKind.DELTA, List.of(DispatcherFixture.member(9, WorkerState.READY, b.now))));
     int id = 0;
     for (int round = 0; round < 40; round++) { // two seconds, forty calls a second
       for (int k = 0; k < 2; k++) {
         b.call(++id, SAFE, id % 20);
         if (!b.sends(id).isEmpty()) {
-          b.outcome(b.lastSend(), 0, Code.OK, 1);
+          b.outcome(b.lastSend(), 0, OutcomeCode.OK, 1);
         }
       }
       b.pass(50);
@@ -155,16 +164,17 @@
 
   @Test
   void ordersToLoadKeepTheirRation() {
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), 3).list(12);
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 3).list(12);
     for (int id = 1; id <= 300; id++) {
       b.at(10)
-          .event(new Due(-1))
+          .event(new TimerFired(-1))
           .call(id, SAFE, id % 2); // much demand for two functions: many homes
       if (!b.sends(id).isEmpty()) {
-        b.outcome(b.lastSend(), 0, Code.OK, 400);
+        b.outcome(b.lastSend(), 0, OutcomeCode.OK, 400);
       }
     }
-    int orders = b.all(Hold.class).size();
+    int orders = b.all(Preload.class).size();
     assertTrue(orders > 2, "orders " + orders);
     assertTrue(orders <= 2 + 0.15 * 300, "orders " + orders);
   }
@@ -175,12 +185,12 @@
   void aWarmFreeWorkerWinsNearlyEveryDraw() {
     DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
     int warm = b.lastSend().worker();
-    b.at(500).outcome(b.lastSend(), 0, Code.OK, 500);
+    b.at(500).outcome(b.lastSend(), 0, OutcomeCode.OK, 500);
     int same = 0;
     for (int id = 2; id < 102; id++) {
       b.at(40).call(id, SAFE, 9);
       same += b.lastSend().worker() == warm ? 1 : 0;
-      b.at(40).outcome(b.lastSend(), 0, Code.OK, 40);
+      b.at(40).outcome(b.lastSend(), 0, OutcomeCode.OK, 40);
     }
     assertTrue(same >= 90, "warm " + same);
   }
@@ -189,7 +199,7 @@
   void aWorkerWithManyOwnCallsLosesItsDraws() {
     DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
     int warm = b.lastSend().worker();
-    b.at(500).outcome(b.lastSend(), 0, Code.OK, 500);
+    b.at(500).outcome(b.lastSend(), 0, OutcomeCode.OK, 500);
     for (int id = 2; id < 14; id++) {
       b.call(id, SAFE, 9);
     }
@@ -205,9 +215,12 @@
   void ownCallsWeighAgainstAWarmCopy() {
     int others = 0;
     for (int seed = 1; seed <= 40; seed++) {
-      DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(6).call(1, SAFE, 9);
+      DispatcherFixture b =
+          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
+              .list(6)
+              .call(1, SAFE, 9);
       int warm = b.lastSend().worker();
-      b.at(500).outcome(b.lastSend(), 0, Code.OK, 500);
+      b.at(500).outcome(b.lastSend(), 0, OutcomeCode.OK, 500);
       for (int id = 2; id < 14; id++) {
         b.call(id, SAFE, 9);
       }
@@ -240,7 +253,7 @@
     int ordered = 0;
     for (int seed = 1; seed <= 20; seed++) {
       ordered +=
-          oneBusyFunction(32, seed).all(Hold.class).stream().anyMatch(h -> h.function() == 1)
+          oneBusyFunction(32, seed).all(Preload.class).stream().anyMatch(h -> h.function() == 1)
               ? 1
               : 0;
     }
@@ -249,10 +262,11 @@
 
   /** Fifteen seconds of calls, one in six of them for function 1; copies have so many lanes. */
   private static DispatcherFixture oneBusyFunction(int lanes, int seed) {
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), seed).list(6);
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), seed).list(6);
     for (int id = 1; id <= 300; id++) {
       b.event(
-          new Call(
+          new CallArrival(
               id,
               2500 * MS,
               0,
@@ -265,7 +279,7 @@
               false,
               500 * MS));
       b.pass(50);
-      b.sends(id).forEach(send -> b.outcome(send, 0, Code.OK, 150));
+      b.sends(id).forEach(send -> b.outcome(send, 0, OutcomeCode.OK, 150));
     }
     return b;
   }
@@ -275,9 +289,9 @@
     DispatcherFixture b =
         bench()
             .list(4)
-            .event(new Call(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
+            .event(new CallArrival(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
     assertTrue(b.sends(1).isEmpty());
-    b.at(400).event(new Due(1));
+    b.at(400).event(new TimerFired(1));
     assertTrue(b.refused(1));
   }
 
@@ -285,14 +299,17 @@
   void frontEndsAgreeOnHomesUnasked() {
     for (long function = 1; function < 30; function++) {
       int first =
-          new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 1)
+          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 1)
               .list(8)
               .call(1, SAFE, function)
               .lastSend()
               .worker();
       int votes = 0;
       for (long seed = 2; seed < 12; seed++) {
-        DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(8).call(1, SAFE, function);
+        DispatcherFixture b =
+            new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
+                .list(8)
+                .call(1, SAFE, function);
         votes += b.lastSend().worker() == first ? 1 : 0;
       }
       assertTrue(votes >= 5, "function " + function + ": " + votes);
@@ -319,7 +336,7 @@
     for (int id = 1; id < 1500; id++) {
       b.at(30).call(id, SAFE, id % 40);
       boolean own = b.lastSend().worker() % 3 == 0;
-      b.at(30).outcome(b.lastSend(), 0, Code.OK, own == homeHallPays ? 20 : 1200);
+      b.at(30).outcome(b.lastSend(), 0, OutcomeCode.OK, own == homeHallPays ? 20 : 1200);
     }
     return b;
   }
@@ -332,11 +349,15 @@
       b.at(20).call(id, SAFE, id); // a scan: no function comes twice
       if (!b.sends(id).isEmpty()) {
         b.outcome(
-            b.lastSend(), 0, noise.nextInt(5) == 0 ? Code.ERROR : Code.OK, noise.nextInt(2000));
+            b.lastSend(),
+            0,
+            noise.nextInt(5) == 0 ? OutcomeCode.ERROR : OutcomeCode.OK,
+            noise.nextInt(2000));
       }
       b.actions.clear();
     }
-    double[] start = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 1).choice.weights;
+    double[] start =
+        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 1).choice.weights;
     for (int k = 0; k < start.length; k++) {
       double most = 0.5 * Math.abs(start[k]) + 0.5;
       assertTrue(Math.abs(b.choice.weights[k] - start[k]) <= most + 1e-9, "weight " + k);
@@ -350,7 +371,7 @@
   void aFullWorkerIsPassedOverForAWhile() {
     DispatcherFixture b = bench().list(2).call(1, SAFE, 9);
     int full = b.lastSend().worker();
-    b.outcome(b.lastSend(), 0, Code.FULL, 1);
+    b.outcome(b.lastSend(), 0, OutcomeCode.FULL, 1);
     for (int id = 2; id < 12; id++) {
       b.at(1).call(id, SAFE, 9);
       assertFalse(b.lastSend().worker() == full);
@@ -360,7 +381,7 @@
   /** Throttled tenants: what is turned away for one tenant says nothing of another. */
   @Test
   void aTurnAwayCountsForItsTenantAndClassAlone() {
-    Settings s = DispatcherFixture.settings(false, Group.ALL);
+    Settings s = DispatcherFixture.settings(false, DedupScope.ALL);
     DispatcherFixture b =
         new DispatcherFixture(
             new Settings(
@@ -376,19 +397,19 @@
                 List.of(),
                 s.limits(),
                 s.rules(),
-                s.loads(),
-                s.report(),
+                s.loadPolicy(),
+                s.loadReportFormat(),
                 s.costs()),
             7);
     b.list(6).call(1, SAFE, 9);
     int home = b.lastSend().worker();
-    b.at(20).outcome(b.lastSend(), 0, Code.OK, 20);
+    b.at(20).outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
     b.at(20).call(2, SAFE, 9);
     assertEquals(home, b.lastSend().worker());
-    b.outcome(b.lastSend(), 0, Code.FULL, 1);
+    b.outcome(b.lastSend(), 0, OutcomeCode.FULL, 1);
     b.call(3, SAFE, 9);
     assertFalse(b.lastSend().worker() == home);
-    b.event(new Call(4, 2500 * MS, 0, 9, 2, 300, SAFE, 1, false, false, 500 * MS));
+    b.event(new CallArrival(4, 2500 * MS, 0, 9, 2, 300, SAFE, 1, false, false, 500 * MS));
     assertEquals(home, b.lastSend().worker());
   }
 
@@ -400,7 +421,7 @@
   void aFrontEndThatHasJustStartedRefusesNothing() {
     DispatcherFixture b = bench().list(20);
     for (int id = 1; id <= 5; id++) {
-      b.call(id, SAFE, id % 3).pass(150).outcome(b.lastSend(), 0, Code.OK, 150).pass(150);
+      b.call(id, SAFE, id % 3).pass(150).outcome(b.lastSend(), 0, OutcomeCode.OK, 150).pass(150);
     }
     assertTrue(b.all(Refuse.class).isEmpty());
   }
@@ -415,18 +436,18 @@
     int id = 0;
     for (; id < 60; id++) {
       b.call(id, SAFE, id % 5).pass(350);
-      b.sends(id).forEach(s -> b.outcome(s, 0, Code.OK, 1800));
+      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 1800));
     }
     int refused = b.all(Refuse.class).size();
     assertTrue(refused > 5 && refused < 60, "refused " + refused);
     for (; id < 120; id++) {
       b.call(id, SAFE, id % 5).pass(350);
-      b.sends(id).forEach(s -> b.outcome(s, 0, Code.OK, 60));
+      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
     }
     int before = b.all(Refuse.class).size();
     for (; id < 150; id++) {
       b.call(id, SAFE, id % 5).pass(350);
-      b.sends(id).forEach(s -> b.outcome(s, 0, Code.OK, 60));
+      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
     }
     assertEquals(before, b.all(Refuse.class).size());
   }
@@ -443,14 +464,14 @@
     Send first = b.all(Send.class).get(0);
     b.at(500)
         .event(
-            new Outcome(
+            new AttemptOutcome(
                 first.call(),
                 0,
                 first.worker(),
-                Code.ERROR,
+                OutcomeCode.ERROR,
                 500 * MS,
                 false,
-                Note.LOAD_FAILED,
+                CopyStatus.LOAD_FAILED,
                 -1,
                 null));
     assertEquals(before, b.all(Send.class).size());
@@ -464,7 +485,7 @@
   void silenceBenchesAWorkerAndOneLongCallDoesNot() {
     DispatcherFixture b = bench().list(3);
     for (int id = 1; id <= 90; id++) { // all three are heard
-      b.at(60).call(id, SAFE, id % 3).at(60).outcome(b.lastSend(), 0, Code.OK, 60);
+      b.at(60).call(id, SAFE, id % 3).at(60).outcome(b.lastSend(), 0, OutcomeCode.OK, 60);
     }
     b.call(100, SAFE, 0).pass(200);
     assertTrue(b.choice.workers.values().stream().noneMatch(w -> w.benched));
@@ -472,7 +493,7 @@
     for (int id = 101; id < 112; id++) {
       b.call(id, UNSAFE, 0);
       if (b.lastSend().worker() != hung) {
-        b.outcome(b.lastSend(), 0, Code.OK, 30);
+        b.outcome(b.lastSend(), 0, OutcomeCode.OK, 30);
       }
     }
     b.pass(1800);
@@ -487,9 +508,9 @@
     for (int id = 1; id < 80; id++) {
       b.at(50).call(id, UNSAFE, id % 4);
       if (!b.sends(id).isEmpty()) {
-        b.outcome(b.lastSend(), 0, Code.ERROR, 5);
+        b.outcome(b.lastSend(), 0, OutcomeCode.ERROR, 5);
       }
-      b.event(new Due(-1));
+      b.event(new TimerFired(-1));
     }
     b.call(1000, UNSAFE, 1);
     assertEquals(1, b.sends(1000).size());
@@ -505,7 +526,7 @@
                 () -> new DispatcherFixture(DispatcherFixture.settings(List.of(), false), 1))
             .getMessage()
             .contains("classes"));
-    CallClass none = new CallClass(1, 0, 0, Effect.SAFE, Group.ALL, 0, 1, 0, false);
+    CallClass none = new CallClass(1, 0, 0, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0, false);
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
@@ -545,18 +566,22 @@
     int there = 0;
     int without = 0;
     for (int seed = 1; seed <= 200; seed++) {
-      DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(6).call(1, SAFE, 7);
+      DispatcherFixture b =
+          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
+              .list(6)
+              .call(1, SAFE, 7);
       without += b.sends(1).get(0).worker() == 4 ? 1 : 0;
-      b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), seed).list(6);
-      b.event(new KnownCopy(4, 7, 1_000 * MS, 0.9)).call(1, SAFE, 7);
+      b = new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed).list(6);
+      b.event(new CopyObservation(4, 7, 1_000 * MS, 0.9)).call(1, SAFE, 7);
       there += b.sends(1).get(0).worker() == 4 ? 1 : 0;
-      List<Known> own = new ArrayList<>();
+      List<Observation> own = new ArrayList<>();
       b.recall(own::add);
       assertTrue(
-          own.stream().noneMatch(k -> k instanceof KnownCopy), "hearsay is not passed on as seen");
-      b.outcome(b.sends(1).get(0), 0, Code.OK, 100);
+          own.stream().noneMatch(k -> k instanceof CopyObservation),
+          "hearsay is not passed on as seen");
+      b.outcome(b.sends(1).get(0), 0, OutcomeCode.OK, 100);
       b.recall(own::add);
-      assertTrue(own.stream().anyMatch(k -> k instanceof KnownCopy c && c.function() == 7));
+      assertTrue(own.stream().anyMatch(k -> k instanceof CopyObservation c && c.function() == 7));
     }
     assertTrue(there > 3 * without, "drawn there " + there + " times, without hearsay " + without);
   }
@@ -565,21 +590,24 @@
   @Test
   void hearsayRevivesNoWorker() {
     DispatcherFixture b = bench().list(3);
-    b.event(new Members(ListKind.DELTA, List.of(new Member(2, 0, 0, 0, State.DRAINING, 1, 0))));
-    b.event(new KnownCopy(2, 7, 0, 1))
-        .event(new KnownWorker(2, 1, 0, 0, 1))
-        .event(new KnownCopy(99, 7, 0, 1));
+    b.event(
+        new WorkerListUpdate(
+            ListKind.DELTA, List.of(new WorkerEntry(2, 0, 0, 0, WorkerState.DRAINING, 1, 0))));
+    b.event(new CopyObservation(2, 7, 0, 1))
+        .event(new WorkerObservation(2, 1, 0, 0, 1))
+        .event(new CopyObservation(99, 7, 0, 1));
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, 7);
       assertNotEquals(2, b.sends(id).get(0).worker());
-      b.outcome(b.sends(id).get(0), 0, Code.OK, 100);
+      b.outcome(b.sends(id).get(0), 0, OutcomeCode.OK, 100);
     }
   }
 
   /** Waits for loads are no overload: the calls that come meanwhile are not refused. */
   @Test
   void loadsUnderWayDoNotLeadToRefusals() {
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ALL), 5).list(6);
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 5).list(6);
     for (int id = 1; id <= 5; id++) {
       b.call(id, SAFE, id); // each begins a load that lasts longer than the aim
     }
@@ -587,8 +615,16 @@
     for (int id = 1; id <= 5; id++) {
       Send s = b.sends(id).get(0);
       b.event(
-              new Outcome(
-                  s.call(), 0, s.worker(), Code.OK, 700 * MS, true, Note.BEGAN_LOAD, 0, null))
+              new AttemptOutcome(
+                  s.call(),
+                  0,
+                  s.worker(),
+                  OutcomeCode.OK,
+                  700 * MS,
+                  true,
+                  CopyStatus.BEGAN_LOAD,
+                  0,
+                  null))
           .pass(50);
     }
     for (int id = 6; id <= 40; id++) {
@@ -596,7 +632,9 @@
       assertFalse(b.refused(id), "call " + id);
       b.sends(id)
           .forEach(
-              s -> b.outcome(s, 0, Code.OK, 150)); // the usual time, so that all are worth the same
+              s ->
+                  b.outcome(
+                      s, 0, OutcomeCode.OK, 150)); // the usual time, so that all are worth the same
     }
   }
 
@@ -610,7 +648,7 @@
     for (int id = 1; id <= 60; id++) {
       b.call(id, SAFE, id % 3).pass(50);
       if (id % 2 == 0) {
-        b.sends(id).forEach(s -> b.outcome(s, 0, Code.OK, 60));
+        b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
       }
     }
     assertTrue(b.all(Refuse.class).isEmpty());
@@ -623,8 +661,12 @@
   @Test
   void anIdleFrontEndWithAShortAimRefusesNothing() {
     CallClass quick =
-        new CallClass(300 * MS, 0, 2500 * MS, Effect.SAFE, Group.ALL, 0, 1, 0.2, false);
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(List.of(quick), false), 3).list(6).pass(3_000);
+        new CallClass(
+            300 * MS, 0, 2500 * MS, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false);
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(List.of(quick), false), 3)
+            .list(6)
+            .pass(3_000);
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, 1);
     }
@@ -636,29 +678,41 @@
    * class allows.
    */
   @ParameterizedTest
-  @EnumSource(Effect.class)
-  void aLateCallGetsASecondCopy(Effect effect) {
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(false, Group.ZONE), 7).list(6);
+  @EnumSource(Idempotency.class)
+  void aLateCallGetsASecondCopy(Idempotency effect) {
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ZONE), 7).list(6);
     for (int id = 1; id <= 30; id++) {
       b.call(id, SAFE, 9); // many at once, so that copies come to stand at all workers
     }
     b.at(60);
-    b.all(Send.class).forEach(s -> b.outcome(s, 0, Code.OK, 60));
+    b.all(Send.class).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
     b.at(50)
-        .call(100, effect.ordinal() == 0 ? SAFE : effect == Effect.KEYED ? KEYED : UNSAFE, 9)
+        .call(
+            100,
+            effect.ordinal() == 0 ? SAFE : effect == Idempotency.DEDUPLICATED ? KEYED : UNSAFE,
+            9)
         .pass(1_000);
     List<Send> sends = b.sends(100);
-    assertEquals(effect == Effect.UNSAFE ? 1 : 2, sends.size());
-    if (effect != Effect.UNSAFE) {
+    assertEquals(effect == Idempotency.NOT_IDEMPOTENT ? 1 : 2, sends.size());
+    if (effect != Idempotency.NOT_IDEMPOTENT) {
       assertFalse(sends.get(0).worker() == sends.get(1).worker());
-      b.outcome(sends.get(1), 1, Code.OK, 60).at(50);
+      b.outcome(sends.get(1), 1, OutcomeCode.OK, 60).at(50);
       int before = b.actions.size();
       b.event(
-          new Outcome(
-              100, 0, sends.get(0).worker(), Code.TIMEOUT, SECOND, true, Note.NONE, -1, null));
+          new AttemptOutcome(
+              100,
+              0,
+              sends.get(0).worker(),
+              OutcomeCode.TIMEOUT,
+              SECOND,
+              true,
+              CopyStatus.NONE,
+              -1,
+              null));
       assertEquals(before, b.actions.size());
     }
-    if (effect == Effect.KEYED) {
+    if (effect == Idempotency.DEDUPLICATED) {
       assertEquals(sends.get(0).worker() % 3, sends.get(1).worker() % 3);
     }
   }
@@ -674,7 +728,7 @@
       b.call(id, UNSAFE, 9);
     }
     b.at(20);
-    List.copyOf(b.all(Send.class)).forEach(s -> b.outcome(s, 0, Code.RESET, 20));
+    List.copyOf(b.all(Send.class)).forEach(s -> b.outcome(s, 0, OutcomeCode.RESET, 20));
     assertEquals(0.2, b.choice.workers.get(1).bad, 1e-9);
   }
 
@@ -684,7 +738,7 @@
     DispatcherFixture b = bench().list(4);
     for (int id = 1; id <= 40; id++) {
       b.call(id, UNSAFE, 1_000 + id).at(5);
-      b.sends(id).forEach(s -> b.outcome(s, 0, Code.ERROR, 5));
+      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.ERROR, 5));
     }
     assertTrue(b.choice.workers.values().stream().allMatch(w -> w.bad == 0));
   }
@@ -703,17 +757,18 @@
    */
   @Test
   void aLoadThatOutlastsItsCallsIsOrdered() {
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), 7).list(4);
-    b.event(new Call(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7).list(4);
+    b.event(new CallArrival(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
     assertTrue(b.sends(1).isEmpty());
-    assertTrue(b.all(Hold.class).isEmpty()); // one call alone is not worth the memory
+    assertTrue(b.all(Preload.class).isEmpty()); // one call alone is not worth the memory
     for (int id = 10; id < 20; id++) {
-      b.event(new Call(id, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
+      b.event(new CallArrival(id, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
     }
-    Hold order = b.all(Hold.class).get(0);
+    Preload order = b.all(Preload.class).get(0);
     assertEquals(9, order.function());
-    b.at(900).event(new Loaded(900 * MS, 1, order.worker(), Code.OK, 9));
-    b.event(new Call(3, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
+    b.at(900).event(new PreloadResult(900 * MS, 1, order.worker(), OutcomeCode.OK, 9));
+    b.event(new CallArrival(3, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
     assertEquals(order.worker(), b.sends(3).get(0).worker());
   }
 
@@ -723,11 +778,11 @@
     DispatcherFixture b = bench().list(6);
     for (int id = 1; id <= 40; id++) {
       b.call(id, SAFE, 9);
-      b.outcome(b.lastSend(), 0, Code.OK, 20);
+      b.outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
     }
     b.call(50, SAFE, 77);
     for (int i = 0; i < 3; i++) {
-      b.outcome(b.lastSend(), i, Code.ERROR, 5);
+      b.outcome(b.lastSend(), i, OutcomeCode.ERROR, 5);
     }
     assertEquals(2, b.sends(50).size());
     assertTrue(b.refused(50));
@@ -746,7 +801,7 @@
       for (int i = 0; i < b.sends(id).size(); i++) {
         boolean fails = b.sends(id).get(i).worker() % 3 == 1;
         lost += fails ? 1 : 0;
-        b.outcome(b.sends(id).get(i), i, fails ? Code.CONNECT_FAILED : Code.OK, 10);
+        b.outcome(b.sends(id).get(i), i, fails ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK, 10);
       }
       b.pass(50);
     }
@@ -754,10 +809,10 @@
 
     b.pass(1_000).call(100, SAFE, 100);
     assertEquals(1, b.lastSend().worker() % 3, "a trial");
-    b.outcome(b.lastSend(), 0, Code.OK, 10).pass(50);
+    b.outcome(b.lastSend(), 0, OutcomeCode.OK, 10).pass(50);
     int back = 0;
     for (int id = 101; id <= 160; id++) {
-      b.call(id, SAFE, id).outcome(b.lastSend(), 0, Code.OK, 10).pass(50);
+      b.call(id, SAFE, id).outcome(b.lastSend(), 0, OutcomeCode.OK, 10).pass(50);
       back += b.lastSend().worker() % 3 == 1 ? 1 : 0;
     }
     assertTrue(back > 5, "only " + back + " sends of 60 to a hall that is back");
@@ -770,8 +825,8 @@
   @Test
   void anAbsentCountIsNoneOnlyWhereCountsAreTold() {
     for (boolean told : new boolean[] {true, false}) {
-      Settings s = DispatcherFixture.settings(true, Group.ALL);
-      Loads l = s.loads();
+      Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
+      LoadPolicy l = s.loadPolicy();
       DispatcherFixture b =
           new DispatcherFixture(
               new Settings(
@@ -787,12 +842,22 @@
                   List.of(),
                   s.limits(),
                   s.rules(),
-                  new Loads(true, true, l.window(), l.free(), l.perCall(), l.keep(), true, told, 0),
-                  s.report(),
+                  new LoadPolicy(
+                      true,
+                      true,
+                      l.preloadWindow(),
+                      l.freePreloads(),
+                      l.preloadsPerCall(),
+                      l.idleRetention(),
+                      true,
+                      told,
+                      0),
+                  s.loadReportFormat(),
                   s.costs()),
               7);
       b.list(1).call(1, SAFE, 9);
-      b.event(new Outcome(1, 0, 1, Code.OK, 50 * MS, false, Note.WARM, 0, null));
+      b.event(
+          new AttemptOutcome(1, 0, 1, OutcomeCode.OK, 50 * MS, false, CopyStatus.WARM, 0, null));
       assertEquals(told ? b.now : 0, b.choice.workers.get(1).copies.get(9L).crowdAt);
     }
   }
@@ -803,16 +868,16 @@
    */
   @Test
   void theOnlyHallIsNotBenchedWhole() {
-    List<Member> members =
+    List<WorkerEntry> members =
         IntStream.rangeClosed(1, 12)
-            .mapToObj(id -> new Member(id, 0, 0, 0, State.READY, 1, 0))
+            .mapToObj(id -> new WorkerEntry(id, 0, 0, 0, WorkerState.READY, 1, 0))
             .toList();
-    DispatcherFixture b = bench().event(new Members(ListKind.FULL, members));
+    DispatcherFixture b = bench().event(new WorkerListUpdate(ListKind.FULL, members));
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, id);
       for (int i = 0; i < b.sends(id).size(); i++) {
         if (b.sends(id).get(i).worker() <= 6) { // the others have not answered yet
-          b.outcome(b.sends(id).get(i), i, Code.CONNECT_FAILED, 10);
+          b.outcome(b.sends(id).get(i), i, OutcomeCode.CONNECT_FAILED, 10);
         }
       }
       b.pass(20);
@@ -832,7 +897,10 @@
       for (int i = 0; i < b.sends(id).size(); i++) {
         int worker = b.sends(id).get(i).worker();
         b.outcome(
-            b.sends(id).get(i), i, worker == 1 || worker == 4 ? Code.CONNECT_FAILED : Code.OK, 10);
+            b.sends(id).get(i),
+            i,
+            worker == 1 || worker == 4 ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK,
+            10);
         hall += worker % 3 == 1 && worker > 4 ? 1 : 0;
       }
       b.pass(50);
@@ -841,22 +909,22 @@
   }
 
   private static Settings among(int siblings) {
-    Settings s = DispatcherFixture.settings(true, Group.ALL);
+    Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
     return new Settings(
         0,
         siblings,
         0,
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
+        s.overShareValueFactor(),
         false,
         false,
         s.weightKind(),
         s.kindMemoryMb(),
         s.limits(),
         s.rules(),
-        s.loads(),
-        s.report(),
+        s.loadPolicy(),
+        s.loadReportFormat(),
         s.costs());
   }
 
@@ -871,9 +939,9 @@
       DispatcherFixture b = new DispatcherFixture(among(14), seed).list(20);
       for (int id = 1; id <= 200; id++) {
         b.call(id, SAFE, id % 4);
-        b.outcome(b.lastSend(), 0, Code.OK, 20).pass(50);
+        b.outcome(b.lastSend(), 0, OutcomeCode.OK, 20).pass(50);
       }
-      orders += b.all(Hold.class).size();
+      orders += b.all(Preload.class).size();
     }
     assertTrue(orders <= 10, orders + " orders of 14 front ends for four functions");
   }
@@ -885,15 +953,16 @@
   @Test
   void aSilentWorkerGetsNoOrders() {
     DispatcherFixture b = new DispatcherFixture(among(14), 7).list(1);
-    b.call(1, SAFE, 1).outcome(b.lastSend(), 0, Code.OK, 20);
+    b.call(1, SAFE, 1).outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
     b.call(2, UNSAFE, 1).pass(2_000); // no answer comes
     for (int id = 3; id <= 5; id++) {
-      b.event(new Call(id, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS)).at(20);
+      b.event(new CallArrival(id, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS))
+          .at(20);
     }
-    assertTrue(b.all(Hold.class).isEmpty());
-    b.outcome(b.sends(2).get(0), 0, Code.OK, 2_000);
-    b.event(new Call(6, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
-    assertEquals(1, b.all(Hold.class).size());
+    assertTrue(b.all(Preload.class).isEmpty());
+    b.outcome(b.sends(2).get(0), 0, OutcomeCode.OK, 2_000);
+    b.event(new CallArrival(6, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
+    assertEquals(1, b.all(Preload.class).size());
   }
 
   /**
@@ -907,11 +976,13 @@
     for (boolean repeat : new boolean[] {false, true}) {
       DispatcherFixture b = new DispatcherFixture(among(14), 7).list(20);
       for (int id = 1; id <= 100; id++) {
-        b.event(new Call(id, 400 * MS, 0, id % 50, 2, 300, UNSAFE, 0, repeat, false, 900 * MS))
+        b.event(
+                new CallArrival(
+                    id, 400 * MS, 0, id % 50, 2, 300, UNSAFE, 0, repeat, false, 900 * MS))
             .at(20);
       }
-      first += repeat ? 0 : b.all(Hold.class).size();
-      again += repeat ? b.all(Hold.class).size() : 0;
+      first += repeat ? 0 : b.all(Preload.class).size();
+      again += repeat ? b.all(Preload.class).size() : 0;
     }
     assertEquals(2, again, "what is free");
     assertTrue(first > 10, first + " orders");
@@ -925,7 +996,7 @@
     for (int id = 1; id <= 400; id++) {
       b.call(id, SAFE, id % 120);
       boolean slow = b.lastSend().worker() == 3 || b.lastSend().worker() == 4;
-      b.outcome(b.lastSend(), 0, Code.OK, slow ? 400 : 60).pass(50);
+      b.outcome(b.lastSend(), 0, OutcomeCode.OK, slow ? 400 : 60).pass(50);
       slowest = Math.max(b.choice.workers.get(3).pace, b.choice.workers.get(4).pace);
     }
     assertTrue(slowest > 2, "pace " + slowest);
@@ -937,27 +1008,31 @@
    */
   @Test
   void aCopyThatOthersWantIsOrderedWithinTheRation() {
-    DispatcherFixture b = new DispatcherFixture(DispatcherFixture.settings(true, Group.ALL), 7).list(3).call(1, SAFE, 9);
+    DispatcherFixture b =
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7)
+            .list(3)
+            .call(1, SAFE, 9);
     b.event(
-        new Members(
+        new WorkerListUpdate(
             ListKind.DELTA,
             List.of(
-                DispatcherFixture.member(2, State.DRAINING, 0), DispatcherFixture.member(3, State.READY, b.now - SECOND))));
+                DispatcherFixture.member(2, WorkerState.DRAINING, 0),
+                DispatcherFixture.member(3, WorkerState.READY, b.now - SECOND))));
     for (int worker : new int[] {2, 3, 77}) {
-      b.event(new Wanted(worker, 9));
+      b.event(new CopyRequested(worker, 9));
     }
-    b.event(new Wanted(1, 10)); // nobody called it
-    assertEquals(0, b.all(Hold.class).size());
+    b.event(new CopyRequested(1, 10)); // nobody called it
+    assertEquals(0, b.all(Preload.class).size());
     for (int i = 0; i < 5; i++) {
-      b.event(new Wanted(1, 9));
+      b.event(new CopyRequested(1, 9));
     }
-    assertEquals(2, b.all(Hold.class).size(), "two are free, and one call earns none");
+    assertEquals(2, b.all(Preload.class).size(), "two are free, and one call earns none");
   }
 
   /** A deployment without a ration of loads: no default takes its place. */
   @Test
   void anAbsentRationIsNoRation() {
-    Settings s = DispatcherFixture.settings(true, Group.ALL);
+    Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
     Settings none =
         new Settings(
             0,
@@ -972,14 +1047,14 @@
             List.of(),
             s.limits(),
             s.rules(),
-            new Loads(true, true, 0, 0, 0, 10 * SECOND, false, true, 0),
-            s.report(),
+            new LoadPolicy(true, true, 0, 0, 0, 10 * SECOND, false, true, 0),
+            s.loadReportFormat(),
             s.costs());
     DispatcherFixture b = new DispatcherFixture(none, 7).list(3).call(1, SAFE, 9);
     for (int i = 0; i < 50; i++) {
-      b.event(new Wanted(1, 9));
+      b.event(new CopyRequested(1, 9));
     }
-    assertEquals(50, b.all(Hold.class).size());
+    assertEquals(50, b.all(Preload.class).size());
   }
 
   /**
@@ -990,21 +1065,21 @@
   void laterHearsayBenchesAndLetsTry() {
     DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
     int worker = b.lastSend().worker();
-    b.outcome(b.lastSend(), 0, Code.OK, 20).at(100);
-    b.event(new KnownWorker(worker, 1, 1, 200 * MS, 1)).pass(100); // seen before the answer
+    b.outcome(b.lastSend(), 0, OutcomeCode.OK, 20).at(100);
+    b.event(new WorkerObservation(worker, 1, 1, 200 * MS, 1)).pass(100); // seen before the answer
     assertFalse(b.choice.workers.get(worker).benched);
-    b.event(new KnownWorker(worker, 1, 1, 0, 1)).pass(100);
+    b.event(new WorkerObservation(worker, 1, 1, 0, 1)).pass(100);
     assertTrue(b.choice.workers.get(worker).benched);
     for (int id = 2; id < 60; id++) { // said again, as a prober does
       b.call(id, SAFE, id).pass(50);
-      b.outcome(b.lastSend(), 0, Code.OK, 50);
-      b.event(new KnownWorker(worker, 1, 1, 0, 1));
+      b.outcome(b.lastSend(), 0, OutcomeCode.OK, 50);
+      b.event(new WorkerObservation(worker, 1, 1, 0, 1));
     }
     assertEquals(
         1,
         b.all(Send.class).stream().filter(s -> s.worker() == worker).count(),
         "sends that met it");
-    b.event(new KnownWorker(worker, 1, 0, 0, 1)).call(60, SAFE, 60);
+    b.event(new WorkerObservation(worker, 1, 0, 0, 1)).call(60, SAFE, 60);
     assertEquals(worker, b.lastSend().worker(), "tried at once");
   }
 }
--- a/src/test/java/saddlestall/DispatcherFixture.java
+++ b/src/test/java/saddlestall/DispatcherFixture.java
@@ -21,12 +21,23 @@
     choice = new AdaptiveDispatcher(settings, seed, now, actions::add);
   }
 
-  static Settings settings(boolean orders, Group group) {
+  static Settings settings(boolean orders, DedupScope group) {
     List<CallClass> classes =
         List.of(
-            new CallClass(600 * MS, 0, 2500 * MS, Effect.SAFE, Group.ALL, 0, 1, 0.2, false),
-            new CallClass(600 * MS, 0, 2500 * MS, Effect.UNSAFE, Group.ALL, 0, 3, 0.2, false),
-            new CallClass(600 * MS, 0, 2500 * MS, Effect.KEYED, group, SECOND, 2, 0.2, false));
+            new CallClass(
+                600 * MS, 0, 2500 * MS, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false),
+            new CallClass(
+                600 * MS,
+                0,
+                2500 * MS,
+                Idempotency.NOT_IDEMPOTENT,
+                DedupScope.ALL,
+                0,
+                3,
+                0.2,
+                false),
+            new CallClass(
+                600 * MS, 0, 2500 * MS, Idempotency.DEDUPLICATED, group, SECOND, 2, 0.2, false));
     return settings(classes, orders);
   }
 
@@ -44,22 +55,23 @@
         List.of(),
         new Limits(true, true, true, false, true, 500 * MS, 4, 250 * MS),
         new Rules(16 * MS, 10 * SECOND, 250 * MS, 15 * SECOND, 0.15, 2 * SECOND, 3),
-        new Loads(true, orders, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
-        new Report(Via.PROBES, List.of(Field.UTILIZATION, Field.QUEUE)),
+        new LoadPolicy(true, orders, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
+        new LoadReportFormat(
+            ReportDelivery.PROBES, List.of(ReportField.UTILIZATION, ReportField.QUEUE)),
         new Costs(0, 0, 0, 0, 0, 0));
   }
 
-  static Member member(int id, State state, long cameUp) {
-    return new Member(id, id % 3, 0, id % 2, state, 1, cameUp);
+  static WorkerEntry member(int id, WorkerState state, long cameUp) {
+    return new WorkerEntry(id, id % 3, 0, id % 2, state, 1, cameUp);
   }
 
   /** Gives the whole list: workers 1 to n, long up. */
   DispatcherFixture list(int n) {
-    List<Member> members = new ArrayList<>();
+    List<WorkerEntry> members = new ArrayList<>();
     for (int id = 1; id <= n; id++) {
-      members.add(member(id, State.READY, 0));
+      members.add(member(id, WorkerState.READY, 0));
     }
-    return event(new Members(ListKind.FULL, members));
+    return event(new WorkerListUpdate(ListKind.FULL, members));
   }
 
   DispatcherFixture event(Event event) {
@@ -67,8 +79,8 @@
     return this;
   }
 
-  void recall(java.util.function.Consumer<Dispatcher.Known> facts) {
-    choice.recall(now, facts);
+  void recall(java.util.function.Consumer<Dispatcher.Observation> facts) {
+    choice.exportObservations(now, facts);
   }
 
   DispatcherFixture at(long millis) {
@@ -79,28 +91,28 @@
   /** Lets time pass in ticks. */
   DispatcherFixture pass(long millis) {
     for (long t = 0; t < millis; t += 50) {
-      at(50).event(new Due(-1));
+      at(50).event(new TimerFired(-1));
     }
     return this;
   }
 
   DispatcherFixture call(int id, int callClass, long function) {
     return event(
-        new Call(id, 2500 * MS, 0, function, 2, 300, callClass, 0, false, false, 500 * MS));
+        new CallArrival(id, 2500 * MS, 0, function, 2, 300, callClass, 0, false, false, 500 * MS));
   }
 
-  DispatcherFixture outcome(Send send, int attempt, Code code, long tookMillis) {
-    Note note = code == Code.OK ? Note.WARM : Note.NONE;
+  DispatcherFixture outcome(Send send, int attempt, OutcomeCode code, long tookMillis) {
+    CopyStatus note = code == OutcomeCode.OK ? CopyStatus.WARM : CopyStatus.NONE;
     return event(
-        new Outcome(
+        new AttemptOutcome(
             send.call(),
             attempt,
             send.worker(),
             code,
             tookMillis * MS,
-            code == Code.OK,
+            code == OutcomeCode.OK,
             note,
-            code == Code.OK ? 0 : -1,
+            code == OutcomeCode.OK ? 0 : -1,
             null));
   }
 
