--- a/src/test/java/saddlestall/EmbeddingTest.java
+++ b/src/test/java/saddlestall/EmbeddingTest.java
@@ -26,7 +26,7 @@
       answers.add("refused " + a.call());
     } else if (action instanceof Fail a) {
       answers.add("failed " + a.call());
-    } else if (action instanceof Timer a) {
+    } else if (action instanceof StartTimer a) {
       alarms.add(new Alarm(now + a.delay(), a.token()));
     }
   }
@@ -34,27 +34,37 @@
   @Test
   void servesACall() {
     Consumer<Action> actions = this::carryOut;
-    Dispatcher front = new AdaptiveDispatcher(DispatcherFixture.settings(false, Group.ALL), 42, now, actions);
+    Dispatcher front =
+        new AdaptiveDispatcher(DispatcherFixture.settings(false, DedupScope.ALL), 42, now, actions);
     front.handle(
         now,
-        new Members(
+        new WorkerListUpdate(
             ListKind.FULL,
             List.of(
-                new Member(11, 0, 0, 0, State.READY, 1, 0),
-                new Member(12, 1, 0, 0, State.READY, 1, 0))),
+                new WorkerEntry(11, 0, 0, 0, WorkerState.READY, 1, 0),
+                new WorkerEntry(12, 1, 0, 0, WorkerState.READY, 1, 0))),
         actions);
-    front.handle(now, new Call(1, 2_500_000, 0, 7, 2, 300, 0, 0, false, false, 500_000), actions);
+    front.handle(
+        now, new CallArrival(1, 2_500_000, 0, 7, 2, 300, 0, 0, false, false, 500_000), actions);
     Send send = sends.get(0);
 
     now += 620_000; // the worker's answer comes
     front.handle(
         now,
-        new Outcome(
-            send.call(), 0, send.worker(), Code.OK, 620_000, true, Note.BEGAN_LOAD, 0, null),
+        new AttemptOutcome(
+            send.call(),
+            0,
+            send.worker(),
+            OutcomeCode.OK,
+            620_000,
+            true,
+            CopyStatus.BEGAN_LOAD,
+            0,
+            null),
         actions);
     while (!alarms.isEmpty() && alarms.peek().at() < 4_000_000) { // the timers of three seconds
       now = Math.max(now, alarms.peek().at());
-      front.handle(now, new Due(alarms.poll().token()), actions);
+      front.handle(now, new TimerFired(alarms.poll().token()), actions);
     }
     assertEquals(1, sends.size());
     assertEquals(List.of(), answers);
--- a/src/test/java/saddlestall/RenewalTest.java
+++ b/src/test/java/saddlestall/RenewalTest.java
@@ -18,28 +18,37 @@
   private static final long FUNCTION = 9;
 
   private static DispatcherFixture bench(boolean orders) {
-    return new DispatcherFixture(DispatcherFixture.settings(orders, Group.ALL), 7).list(4);
+    return new DispatcherFixture(DispatcherFixture.settings(orders, DedupScope.ALL), 7).list(4);
   }
 
   /** Serves a call; the worker that did. */
   private static int serve(DispatcherFixture b, int call) {
     b.call(call, SAFE, FUNCTION);
     int worker = b.lastSend().worker();
-    b.at(20).outcome(b.lastSend(), 0, Code.OK, 20);
+    b.at(20).outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
     return worker;
   }
 
   private static DispatcherFixture full(DispatcherFixture b, Send send, int crowd) {
     return b.event(
-        new Outcome(send.call(), 0, send.worker(), Code.FULL, MS, false, Note.NONE, crowd, null));
+        new AttemptOutcome(
+            send.call(),
+            0,
+            send.worker(),
+            OutcomeCode.FULL,
+            MS,
+            false,
+            CopyStatus.NONE,
+            crowd,
+            null));
   }
 
   @Test
   void aPermissionThatEndsIsRenewedByAnOrderForWhatStandsThere() {
     DispatcherFixture b = bench(true);
     int worker = serve(b, 1);
-    b.event(new Expiring(List.of(worker), 1));
-    assertEquals(List.of(new Hold(worker, FUNCTION, 1)), b.all(Hold.class));
+    b.event(new LeasesExpiring(List.of(worker), 1));
+    assertEquals(List.of(new Preload(worker, FUNCTION, 1)), b.all(Preload.class));
   }
 
   /**
@@ -50,11 +59,11 @@
     DispatcherFixture b = bench(true);
     serve(b, 1);
     for (int i = 0; i < 100; i++) {
-      b.event(new Expiring(List.of(1, 2, 3, 4), 4));
-      assertTrue(b.all(Hold.class).size() <= 1 + i / 40, "after " + i);
+      b.event(new LeasesExpiring(List.of(1, 2, 3, 4), 4));
+      assertTrue(b.all(Preload.class).size() <= 1 + i / 40, "after " + i);
       b.at(50);
     }
-    assertTrue(b.all(Hold.class).size() >= 2);
+    assertTrue(b.all(Preload.class).size() >= 2);
   }
 
   @Test
@@ -62,7 +71,7 @@
     DispatcherFixture b = bench(false);
     int usual = serve(b, 1);
     int other = usual % 4 + 1;
-    b.event(new Expiring(List.of(other), 1));
+    b.event(new LeasesExpiring(List.of(other), 1));
     assertEquals(other, serve(b, 2));
     assertEquals(usual, serve(b, 3));
   }
@@ -97,9 +106,11 @@
         full(b, send, crowd);
         send = b.lastSend();
         assertFalse(send.worker() == full);
-        b.event(new Outcome(call, 1, send.worker(), Code.OK, 20 * MS, true, Note.WARM, 0, null));
+        b.event(
+            new AttemptOutcome(
+                call, 1, send.worker(), OutcomeCode.OK, 20 * MS, true, CopyStatus.WARM, 0, null));
       } else {
-        b.at(20).outcome(send, 0, Code.OK, 20);
+        b.at(20).outcome(send, 0, OutcomeCode.OK, 20);
       }
       b.pass(50);
     }
--- a/src/test/java/saddlestall/RulesTest.java
+++ b/src/test/java/saddlestall/RulesTest.java
@@ -22,7 +22,7 @@
 
   /** What the checker knows of a call. */
   private static final class Seen {
-    Call call;
+    CallArrival call;
     long deadline;
     int sent;
     Send out;
@@ -33,7 +33,7 @@
   }
 
   private final Map<Integer, Seen> calls = new TreeMap<>();
-  private final Map<Integer, Member> list = new TreeMap<>();
+  private final Map<Integer, WorkerEntry> list = new TreeMap<>();
   private final List<Long> took = new ArrayList<>();
   private final List<Long> orders = new ArrayList<>();
   private final StringBuilder trace = new StringBuilder();
@@ -52,7 +52,7 @@
   }
 
   private void run(long seed) {
-    Settings s = DispatcherFixture.settings(true, Group.CELL);
+    Settings s = DispatcherFixture.settings(true, DedupScope.CELL);
     b = new DispatcherFixture(s, seed);
     Random r = new Random(seed);
     int id = 0;
@@ -61,11 +61,11 @@
       deadlines();
       switch (r.nextInt(10)) {
         case 0 -> members(r);
-        case 1, 2 -> b.event(new Due(-1));
+        case 1, 2 -> b.event(new TimerFired(-1));
         case 3, 4, 5 -> {
           Seen seen = new Seen();
           seen.call =
-              new Call(
+              new CallArrival(
                   ++id,
                   (1 + r.nextInt(2500)) * MS,
                   r.nextInt(2) * 50 * MS,
@@ -77,7 +77,7 @@
                   r.nextBoolean(),
                   false,
                   r.nextInt(800) * MS);
-          seen.deadline = b.now + seen.call.patience();
+          seen.deadline = b.now + seen.call.budget();
           calls.put(id, seen);
           took.add(b.now);
           b.event(seen.call);
@@ -95,25 +95,25 @@
   private void deadlines() {
     for (Seen c : new ArrayList<>(calls.values())) {
       if (!c.over && c.deadline <= b.now) {
-        b.event(new Due(c.call.id()));
-        check(DispatcherFixture.settings(true, Group.CELL));
+        b.event(new TimerFired(c.call.id()));
+        check(DispatcherFixture.settings(true, DedupScope.CELL));
         assertTrue(c.over, "call " + c.call.id() + " has no answer at its deadline");
       }
     }
   }
 
   private void members(Random r) {
-    List<Member> lines = new ArrayList<>();
+    List<WorkerEntry> lines = new ArrayList<>();
     for (int w = 1; w <= 6; w++) {
       if (r.nextInt(3) == 0) {
-        State state = State.values()[Math.min(2, r.nextInt(6))];
+        WorkerState state = WorkerState.values()[Math.min(2, r.nextInt(6))];
         lines.add(
             DispatcherFixture.member(
-                w, r.nextInt(2) == 0 ? State.READY : state, r.nextInt(4) == 0 ? b.now : 0));
+                w, r.nextInt(2) == 0 ? WorkerState.READY : state, r.nextInt(4) == 0 ? b.now : 0));
       }
     }
     lines.forEach(m -> list.put(m.worker(), m));
-    b.event(new Members(ListKind.DELTA, lines));
+    b.event(new WorkerListUpdate(ListKind.DELTA, lines));
   }
 
   private void outcome(Random r, Settings s) {
@@ -122,7 +122,7 @@
       return;
     }
     Seen c = out.get(r.nextInt(out.size()));
-    Code code = Code.values()[r.nextInt(Code.values().length)];
+    OutcomeCode code = OutcomeCode.values()[r.nextInt(OutcomeCode.values().length)];
     Send send = c.out;
     c.out = null;
     if (!code.notRun && !c.mayHaveRun) {
@@ -130,17 +130,17 @@
       c.ranCell = list.get(send.worker()).cell();
       c.ranSince = b.now - 5 * MS;
     }
-    boolean closed = c.over || code == Code.OK;
+    boolean closed = c.over || code == OutcomeCode.OK;
     c.over = closed;
     b.event(
-        new Outcome(
+        new AttemptOutcome(
             send.call(),
             c.sent - 1,
             send.worker(),
             code,
             900 * MS,
             closed,
-            Note.values()[r.nextInt(5)],
+            CopyStatus.values()[r.nextInt(5)],
             r.nextInt(5) - 1,
             null));
   }
@@ -153,21 +153,24 @@
         checkSend(a, s);
       } else if (action instanceof Refuse a) {
         Seen c = answered(a.call());
-        Effect effect = s.classes().get(c.call.callClass()).effect();
+        Idempotency effect = s.classes().get(c.call.callClass()).idempotency();
         assertTrue(
-            effect == Effect.SAFE || !c.mayHaveRun && c.out == null, "refused, but may have run");
+            effect == Idempotency.IDEMPOTENT || !c.mayHaveRun && c.out == null,
+            "refused, but may have run");
       } else if (action instanceof Fail a) {
         answered(a.call());
-      } else if (action instanceof Hold a) {
-        assertEquals(State.READY, list.get(a.worker()).state(), "rule 3, order");
+      } else if (action instanceof Preload a) {
+        assertEquals(WorkerState.READY, list.get(a.worker()).state(), "rule 3, order");
         orders.add(b.now);
-        long since = b.now - s.loads().window();
+        long since = b.now - s.loadPolicy().preloadWindow();
         // Orders arrive up to a connect later, and then count together with those given in the
         // meantime.
         long waited = since - s.limits().connectTimeout();
         long given = orders.stream().filter(t -> t >= waited).count();
         long taken = took.stream().filter(t -> t > since).count();
-        assertTrue(given <= s.loads().free() + s.loads().perCall() * taken, "rule 5");
+        assertTrue(
+            given <= s.loadPolicy().freePreloads() + s.loadPolicy().preloadsPerCall() * taken,
+            "rule 5");
       }
     }
   }
@@ -185,10 +188,10 @@
     assertTrue(!c.over, "sent after its answer");
     assertTrue(c.out == null, "two attempts at once");
     assertTrue(++c.sent <= s.limits().maxAttempts(), "too many attempts");
-    assertEquals(State.READY, list.get(a.worker()).state(), "rule 3");
+    assertEquals(WorkerState.READY, list.get(a.worker()).state(), "rule 3");
     if (c.mayHaveRun) {
-      assertTrue(kind.effect() != Effect.UNSAFE, "an unsafe call sent again");
-      if (kind.effect() == Effect.KEYED) {
+      assertTrue(kind.idempotency() != Idempotency.NOT_IDEMPOTENT, "an unsafe call sent again");
+      if (kind.idempotency() == Idempotency.DEDUPLICATED) {
         assertEquals(c.ranCell, list.get(a.worker()).cell(), "outside the cell");
       }
     }
--- a/src/test/java/saddlestall/SizeTest.java
+++ b/src/test/java/saddlestall/SizeTest.java
@@ -21,7 +21,7 @@
   private static final int WORKERS = 40;
 
   private static Settings settings(int siblings) {
-    Settings s = DispatcherFixture.settings(false, Group.ALL);
+    Settings s = DispatcherFixture.settings(false, DedupScope.ALL);
     return new Settings(
         0,
         siblings,
@@ -35,8 +35,8 @@
         List.of(),
         s.limits(),
         s.rules(),
-        s.loads(),
-        s.report(),
+        s.loadPolicy(),
+        s.loadReportFormat(),
         s.costs());
   }
 
@@ -57,7 +57,7 @@
         b.call(id, SAFE, (i * 7 + id * 13) % functions);
         b.pass(100);
         if (!b.sends(id).isEmpty()) {
-          b.outcome(b.sends(id).get(0), 0, Code.OK, 100);
+          b.outcome(b.sends(id).get(0), 0, OutcomeCode.OK, 100);
         }
         b.pass(k == 2 ? 200 : 250);
       }
@@ -86,7 +86,9 @@
       second(fronts, 3 * t, 240);
     }
     for (DispatcherFixture b : fronts) {
-      b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(99, State.READY, b.now))));
+      b.event(
+          new WorkerListUpdate(
+              ListKind.DELTA, List.of(DispatcherFixture.member(99, WorkerState.READY, b.now))));
     }
     int sent = 0;
     for (int t = 6; t < 14; t++) {
@@ -111,7 +113,7 @@
     for (int id = 1; id <= 20; id++) {
       b.call(id, SAFE, id % 3).pass(50);
       assertEquals(1, b.sends(id).size());
-      b.outcome(b.lastSend(), 0, Code.OK, 50);
+      b.outcome(b.lastSend(), 0, OutcomeCode.OK, 50);
     }
     assertTrue(b.all(Send.class).stream().allMatch(s -> s.worker() >= 1 && s.worker() <= workers));
   }
@@ -133,20 +135,20 @@
             List.of(),
             s.limits(),
             s.rules(),
-            s.loads(),
-            s.report(),
+            s.loadPolicy(),
+            s.loadReportFormat(),
             s.costs());
     DispatcherFixture b = new DispatcherFixture(rated, 4);
-    List<Member> members = new ArrayList<>();
+    List<WorkerEntry> members = new ArrayList<>();
     for (int id = 1; id <= 10; id++) {
-      members.add(new Member(id, 0, 0, 0, State.READY, id <= 5 ? 3 : 1, 0));
+      members.add(new WorkerEntry(id, 0, 0, 0, WorkerState.READY, id <= 5 ? 3 : 1, 0));
     }
-    b.event(new Members(ListKind.FULL, members));
+    b.event(new WorkerListUpdate(ListKind.FULL, members));
     int large = 0;
     for (int id = 1; id <= 400; id++) {
-      b.at(SECOND / MS / 4).event(new Due(-1)).call(id, SAFE, id);
+      b.at(SECOND / MS / 4).event(new TimerFired(-1)).call(id, SAFE, id);
       large += b.sends(id).get(0).worker() <= 5 ? 1 : 0;
-      b.outcome(b.sends(id).get(0), 0, Code.OK, 20);
+      b.outcome(b.sends(id).get(0), 0, OutcomeCode.OK, 20);
     }
     assertTrue(large > 260 && large < 350, "of 400 calls the larger half got " + large);
   }
@@ -159,17 +161,20 @@
   void aCallWithLittleTimeGoesOnlyWhereACopyWasSeen() {
     DispatcherFixture b = new DispatcherFixture(settings(FRONTS), 2).list(WORKERS);
     for (int id = 1; id <= 30; id++) {
-      b.at(100).event(new Due(-1)).call(id, SAFE, 7).outcome(b.lastSend(), 0, Code.OK, 40);
+      b.at(100)
+          .event(new TimerFired(-1))
+          .call(id, SAFE, 7)
+          .outcome(b.lastSend(), 0, OutcomeCode.OK, 40);
     }
     Set<Integer> seen = new HashSet<>();
     b.all(Send.class).forEach(s -> seen.add(s.worker()));
     for (int id = 31; id <= 60; id++) {
-      b.event(new Call(id, 200 * MS, 0, 7, 2, 300, SAFE, 0, false, false, 500 * MS));
+      b.event(new CallArrival(id, 200 * MS, 0, 7, 2, 300, SAFE, 0, false, false, 500 * MS));
       assertTrue(b.sends(id).isEmpty() || seen.contains(b.sends(id).get(0).worker()));
-      b.sends(id).forEach(s -> b.outcome(s, 0, Code.OK, 40));
-      b.event(new Call(1000 + id, 200 * MS, 0, id, 2, 300, SAFE, 0, false, false, 500 * MS));
+      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 40));
+      b.event(new CallArrival(1000 + id, 200 * MS, 0, id, 2, 300, SAFE, 0, false, false, 500 * MS));
       assertTrue(b.sends(1000 + id).isEmpty());
-      b.event(new Left(1000 + id));
+      b.event(new ClientDisconnected(1000 + id));
     }
   }
 
@@ -192,12 +197,12 @@
       second(fronts, 3 * t, 240);
     }
     for (DispatcherFixture b : fronts) {
-      List<Member> news = new ArrayList<>();
+      List<WorkerEntry> news = new ArrayList<>();
       for (int id = 1; id <= replaced; id++) {
-        news.add(DispatcherFixture.member(id, State.DRAINING, 0));
-        news.add(DispatcherFixture.member(100 + id, State.READY, b.now));
+        news.add(DispatcherFixture.member(id, WorkerState.DRAINING, 0));
+        news.add(DispatcherFixture.member(100 + id, WorkerState.READY, b.now));
       }
-      b.event(new Members(ListKind.DELTA, news));
+      b.event(new WorkerListUpdate(ListKind.DELTA, news));
     }
     StringBuilder seen = new StringBuilder();
     boolean kept = true;
@@ -227,18 +232,20 @@
       second(fronts, 3 * t, 240);
     }
     for (DispatcherFixture b : fronts) {
-      b.event(new Members(ListKind.DELTA, List.of(DispatcherFixture.member(100, State.READY, b.now))));
+      b.event(
+          new WorkerListUpdate(
+              ListKind.DELTA, List.of(DispatcherFixture.member(100, WorkerState.READY, b.now))));
     }
     for (int t = 6; t < 10; t++) {
       second(fronts, 3 * t, 240);
     }
     int before = toNew(fronts);
     for (DispatcherFixture b : fronts) {
-      List<Member> gone = new ArrayList<>();
+      List<WorkerEntry> gone = new ArrayList<>();
       for (int id = 1; id <= WORKERS; id++) {
-        gone.add(DispatcherFixture.member(id, State.DRAINING, 0));
+        gone.add(DispatcherFixture.member(id, WorkerState.DRAINING, 0));
       }
-      b.event(new Members(ListKind.DELTA, gone));
+      b.event(new WorkerListUpdate(ListKind.DELTA, gone));
     }
     second(fronts, 30, 240);
     second(fronts, 33, 240);
@@ -257,11 +264,11 @@
     List<DispatcherFixture> fronts = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
       DispatcherFixture b = new DispatcherFixture(settings(FRONTS), i);
-      List<Member> cold = new ArrayList<>();
+      List<WorkerEntry> cold = new ArrayList<>();
       for (int id = 101; id <= 100 + WORKERS; id++) {
-        cold.add(DispatcherFixture.member(id, State.READY, b.now - 5 * SECOND));
+        cold.add(DispatcherFixture.member(id, WorkerState.READY, b.now - 5 * SECOND));
       }
-      fronts.add(b.event(new Members(ListKind.FULL, cold)));
+      fronts.add(b.event(new WorkerListUpdate(ListKind.FULL, cold)));
     }
     for (int t = 0; t < 2; t++) {
       second(fronts, 3 * t, 240);
--- a/src/test/java/saddlestall/benchlink/FrameCodecTest.java
+++ b/src/test/java/saddlestall/benchlink/FrameCodecTest.java
@@ -66,10 +66,10 @@
     assertEquals(
         List.of(
             "select 3",
-            new Call(
+            new CallArrival(
                 0x5d3a91c4, 240_000, 12_000, 0x7c55d20a01L, 2, 384, 0, 0, false, false, 900_000),
-            new Due(77),
-            new Left(0x0e6f2b19)),
+            new TimerFired(77),
+            new ClientDisconnected(0x0e6f2b19)),
         read(
             frame(
                 "",
@@ -81,66 +81,68 @@
 
   @Test
   void readsAnOutcomeWithItsReport() throws IOException {
-    Outcome o =
-        (Outcome)
+    AttemptOutcome o =
+        (AttemptOutcome)
             read(frame(
                     "",
                     "05 5d3a91c4 00 03124a07 00 4032800000000000 01 00000011 "
                         + "03 3f1eb852 3ecccccd 3fa00000 00000000"))
                 .get(0);
-    assertEquals(Code.OK, o.code());
-    assertEquals(18_500, o.took());
-    assertTrue(o.closed());
-    assertEquals(Note.WARM, o.note());
-    assertEquals(2, o.crowd());
-    assertArrayEquals(new float[] {0.62f, 0.4f, 1.25f}, o.report());
+    assertEquals(OutcomeCode.OK, o.code());
+    assertEquals(18_500, o.elapsed());
+    assertTrue(o.callClosed());
+    assertEquals(CopyStatus.WARM, o.copyStatus());
+    assertEquals(2, o.concurrency());
+    assertArrayEquals(new float[] {0.62f, 0.4f, 1.25f}, o.loadReport());
   }
 
   @Test
   void readsListsByTheirNumber() throws IOException {
-    Members m =
-        (Members)
+    WorkerListUpdate m =
+        (WorkerListUpdate)
             read(frame(
                     "0000 01 3f800000 0000000000000000 0000 0000 03124a07 0001 00 3fc00000 40b7d40000000000 0001 0002 2c9011f2",
                     "0c 0004 00000000 00000002",
                     "02 02 0000000000000029 0004"))
                 .get(0);
     assertEquals(
-        new Members(
+        new WorkerListUpdate(
             ListKind.CACHED,
             List.of(
-                new Member(0x03124a07, 0, 0, 0, State.READY, 1, 0),
-                new Member(0x2c9011f2, 1, 1, 2, State.GONE, 1.5, 6_100_000))),
+                new WorkerEntry(0x03124a07, 0, 0, 0, WorkerState.READY, 1, 0),
+                new WorkerEntry(0x2c9011f2, 1, 1, 2, WorkerState.GONE, 1.5, 6_100_000))),
         m);
-    assertEquals(new Members(ListKind.FAILED, List.of()), read(frame("", "02 03")).get(0));
+    assertEquals(new WorkerListUpdate(ListKind.FAILED, List.of()), read(frame("", "02 03")).get(0));
   }
 
   @Test
   void readsTheOtherEvents() throws IOException {
     assertEquals(
-        new Loaded(640_000, 1, 0x2c9011f2, Code.OK, 0x7c55d20a01L),
+        new PreloadResult(640_000, 1, 0x2c9011f2, OutcomeCode.OK, 0x7c55d20a01L),
         read(frame("", "0b 4084000000000000 01 2c9011f2 00 0000007c55d20a01")).get(0));
     assertEquals("spawn 5 hi", read(frame("6869", "01 0000000000000005 00000000 00000002")).get(0));
     assertEquals("killed", read(frame("", "0a")).get(0));
-    assertEquals(new Started(1, 2, 3), read(frame("", "04 00000001 02 00000003")).get(0));
-    Probed p = (Probed) read(frame("", "08 4032800000000000 00000007 6e 00")).get(0);
-    assertEquals(Code.TIMEOUT, p.code());
-    assertNull(p.report());
-    Heard h = (Heard) read(frame("0102", "09 00000002 00000000 00000002")).get(0);
+    assertEquals(new StreamStarted(1, 2, 3), read(frame("", "04 00000001 02 00000003")).get(0));
+    ProbeResult p = (ProbeResult) read(frame("", "08 4032800000000000 00000007 6e 00")).get(0);
+    assertEquals(OutcomeCode.TIMEOUT, p.code());
+    assertNull(p.loadReport());
+    PeerMessage h = (PeerMessage) read(frame("0102", "09 00000002 00000000 00000002")).get(0);
     assertArrayEquals(new byte[] {1, 2}, h.bytes());
   }
 
   @Test
   void skipsUnknownEventsAndReadsUnknownOutcomesAsErrors() throws IOException {
-    assertEquals(List.of(new Due(1)), read(frame("", "63", "07 0000000000000001")));
+    assertEquals(List.of(new TimerFired(1)), read(frame("", "63", "07 0000000000000001")));
     assertEquals(
-        Code.ERROR, ((Outcome) read(frame("", "05 00000001 00 00000001 63")).get(0)).code());
+        OutcomeCode.ERROR,
+        ((AttemptOutcome) read(frame("", "05 00000001 00 00000001 63")).get(0)).code());
   }
 
   @Test
   void refusesMalformedFrames() {
     byte[] whole = frame("", "0d 00000003");
-    assertThrows(FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 30))); // truncated
+    assertThrows(
+        FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 30))); // truncated
     assertThrows(
         FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 9))); // in the header
     byte[] many = whole.clone();
@@ -153,7 +155,8 @@
         FrameCodec.BadFrame.class,
         () -> read(frame("", "01 0000000000000005 00000000 00000002"))); // no tail
     assertThrows(
-        FrameCodec.BadFrame.class, () -> read(frame("", "02 02 0000000000000029 0044"))); // list number
+        FrameCodec.BadFrame.class,
+        () -> read(frame("", "02 02 0000000000000029 0044"))); // list number
     assertThrows(FrameCodec.BadFrame.class, () -> read(frame("", "02 07"))); // kind of list
   }
 
@@ -167,9 +170,9 @@
     FrameCodec.Reply reply = new FrameCodec.Reply();
     reply.from(3);
     reply.add(new Send(0x5d3a91c4, 0x03124a07, 80_000));
-    reply.add(new Timer(500_000, 77));
+    reply.add(new StartTimer(500_000, 77));
     reply.add(new Log("two servers known"));
-    reply.add(new Hold(0x2c9011f2, 0x7c55d20a01L, 1));
+    reply.add(new Preload(0x2c9011f2, 0x7c55d20a01L, 1));
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     reply.write(out);
     assertEquals(
@@ -198,12 +201,13 @@
           "DedupWindow": 5000, "Worth": 2.0, "Name": "x", "New": {}}], "Siblings": 3, "Another": [1],
          "FamilyInfo": {"MayLoad": true, "LoadsWithin": 5000, "MissMode": "miss", "MachineMb": [1, 2]},
          "Report": {"Fields": ["utilization", "odd"], "Via": "pull"}, "Limits": {"MostTries": 5}}""");
-    assertEquals(1_200_500, s.classes().get(0).aim());
-    assertEquals(Effect.KEYED, s.classes().get(0).effect());
-    assertEquals(Group.ZONE, s.classes().get(0).group());
-    assertEquals(5_000_000, s.loads().window());
-    assertTrue(s.loads().mayOrder() && !s.loads().loadsOnMiss());
-    assertEquals(List.of(Field.UTILIZATION, Field.OTHER), s.report().fields());
-    assertEquals(Via.PROBES, s.report().via());
+    assertEquals(1_200_500, s.classes().get(0).latencyTarget());
+    assertEquals(Idempotency.DEDUPLICATED, s.classes().get(0).idempotency());
+    assertEquals(DedupScope.ZONE, s.classes().get(0).dedupScope());
+    assertEquals(5_000_000, s.loadPolicy().preloadWindow());
+    assertTrue(s.loadPolicy().mayPreload() && !s.loadPolicy().loadsOnMiss());
+    assertEquals(
+        List.of(ReportField.UTILIZATION, ReportField.OTHER), s.loadReportFormat().fields());
+    assertEquals(ReportDelivery.PROBES, s.loadReportFormat().delivery());
   }
 }
--- a/src/test/java/umberrun/FleetProcessesIT.java
+++ b/src/test/java/umberrun/FleetProcessesIT.java
@@ -20,11 +20,11 @@
 import org.junit.Test;
 import umberrun.fleet.About;
 import umberrun.fleet.Claim;
-import umberrun.fleet.ProcessGeneration;
 import umberrun.fleet.GossipMessage;
+import umberrun.fleet.ProcessGeneration;
+import umberrun.fleet.net.FleetClient;
 import umberrun.fleet.net.FleetCodec;
 import umberrun.fleet.net.FleetCodec.Frame;
-import umberrun.fleet.net.FleetClient;
 
 /**
  * Six processes keep a view of each other, whatever becomes of some of them and of the ways between
--- a/src/test/java/umberrun/FleetScenariosTest.java
+++ b/src/test/java/umberrun/FleetScenariosTest.java
@@ -21,8 +21,8 @@
 import umberrun.config.Config.BadConfig;
 import umberrun.fleet.About;
 import umberrun.fleet.Claim;
-import umberrun.fleet.ProcessGeneration;
 import umberrun.fleet.GossipMessage;
+import umberrun.fleet.ProcessGeneration;
 import umberrun.fleet.net.FleetCodec;
 import umberrun.fleet.net.FleetCodec.UndecodableException;
 
@@ -118,7 +118,9 @@
         // one of the two it must be, and nothing else
       }
     }
-    assertTrue(assertThrows(UndecodableException.class, () -> new FleetCodec("other").message(bytes)).foreign);
+    assertTrue(
+        assertThrows(UndecodableException.class, () -> new FleetCodec("other").message(bytes))
+            .foreign);
   }
 
   /** A later version's further fields, at each level, are passed over. */
@@ -166,7 +168,8 @@
                         "member-" + i, SELF.life(), 1, Claim.Status.ALIVE, SELF.about(), "", 0))
             .toList();
     byte[] bytes =
-        new FleetCodec("yard").encode(new GossipMessage(GossipMessage.Kind.PING, 1, "n2", "", SELF, many));
+        new FleetCodec("yard")
+            .encode(new GossipMessage(GossipMessage.Kind.PING, 1, "n2", "", SELF, many));
     assertTrue(
         bytes.length + " bytes", bytes.length <= FleetCodec.MOST_DATAGRAM && bytes.length > 1_200);
   }
--- a/src/test/java/umberrun/LeaseFigures.java
+++ b/src/test/java/umberrun/LeaseFigures.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.IntStream;
-import umberrun.consensus.net.RegisterManager;
 import umberrun.config.LeaseOptions;
+import umberrun.consensus.net.RegisterManager;
 import umberrun.core.Clock;
 import umberrun.stats.Counters;
 
@@ -177,7 +177,8 @@
     vertx.close();
   }
 
-  private static void change(Clock clock, RegisterManager.RegisterClient way, String register, AtomicInteger done) {
+  private static void change(
+      Clock clock, RegisterManager.RegisterClient way, String register, AtomicInteger done) {
     way.change(
         register,
         v -> v.next("x"),
--- a/src/test/java/umberrun/LeaseProcessesIT.java
+++ b/src/test/java/umberrun/LeaseProcessesIT.java
@@ -28,8 +28,8 @@
 import org.junit.FixMethodOrder;
 import org.junit.Test;
 import org.junit.runners.MethodSorters;
-import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
+import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
  * Five processes, three of which vote, hold duties by lease; a stand-in writes down each act with
--- a/src/test/java/umberrun/LeaseScenariosTest.java
+++ b/src/test/java/umberrun/LeaseScenariosTest.java
@@ -13,11 +13,11 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import org.junit.Test;
-import umberrun.consensus.VoterBootstrap;
-import umberrun.consensus.ConsensusMessage;
-import umberrun.consensus.VoterSet;
 import umberrun.config.Config;
 import umberrun.config.Config.BadConfig;
+import umberrun.consensus.ConsensusMessage;
+import umberrun.consensus.VoterBootstrap;
+import umberrun.consensus.VoterSet;
 import umberrun.lease.CandidateRanking;
 import umberrun.lease.CandidateRanking.Candidate;
 import umberrun.lease.FenceRegistry;
@@ -95,7 +95,10 @@
     assertEquals(1, CandidateRanking.place("probe/y", "y", "b", all));
     assertEquals("not fit", all.size(), CandidateRanking.place("probe/y", "y", "d", all));
     List<Integer> places =
-        all.stream().map(c -> CandidateRanking.place("beacon", "", c.name(), all)).sorted().toList();
+        all.stream()
+            .map(c -> CandidateRanking.place("beacon", "", c.name(), all))
+            .sorted()
+            .toList();
     assertEquals(List.of(0, 1, 2, 3, 5), places);
     java.util.Collections.shuffle(all, new java.util.Random(5));
     assertEquals(0, CandidateRanking.place("probe/y", "y", "c", all));
--- a/src/test/java/umberrun/Processes.java
+++ b/src/test/java/umberrun/Processes.java
@@ -30,8 +30,8 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.Value;
-import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
+import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
  * Several processes of the packaged program, started by the deploy file's command, with stand-in
--- a/src/test/java/umberrun/WorksProcessesIT.java
+++ b/src/test/java/umberrun/WorksProcessesIT.java
@@ -22,8 +22,8 @@
 import org.junit.Test;
 import org.junit.runners.MethodSorters;
 import umberrun.cli.Commands;
-import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
+import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
  * Five processes and twelve stand-in workers: machines are taken out by plans while processes are
--- a/src/test/java/umberrun/WorksService.java
+++ b/src/test/java/umberrun/WorksService.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.HdrHistogram.ConcurrentHistogram;
-import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetClient;
+import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
  * Figures for docs/works.md, outside the build: service while all machines are worked on by a plan,
--- a/src/test/java/umberrun/admission/ConnectionLimitsTest.java
+++ b/src/test/java/umberrun/admission/ConnectionLimitsTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.Test;
-import umberrun.admission.ConnectionLimits.TooFewDescriptors;
 import umberrun.admission.ConnectionLimits.Purpose;
+import umberrun.admission.ConnectionLimits.TooFewDescriptors;
 
 /** Connections within the descriptors, and shares while two processes live. */
 public class ConnectionLimitsTest {
@@ -24,7 +24,8 @@
     for (int seed = 0; seed < 300; seed++) {
       Random r = new Random(seed);
       int descriptors = 150 + r.nextInt(2_000);
-      ConnectionLimits a = new ConnectionLimits(descriptors, r.nextBoolean(), r.nextBoolean(), r.nextInt(3));
+      ConnectionLimits a =
+          new ConnectionLimits(descriptors, r.nextBoolean(), r.nextBoolean(), r.nextInt(3));
       List<Purpose> open = new ArrayList<>();
       for (int i = 0; i < 3_000; i++) {
         Purpose use = Purpose.values()[r.nextInt(Purpose.values().length)];
--- a/src/test/java/umberrun/consensus/RegisterModelTest.java
+++ b/src/test/java/umberrun/consensus/RegisterModelTest.java
@@ -42,11 +42,15 @@
     assertNotNull(v.handle(new ConsensusMessage.Prepare(1, "r", b)));
     assertNull(v.handle(new ConsensusMessage.Prepare(1, "s", b)));
     assertNull(
-        v.handle(new ConsensusMessage.Accept(1, "r", b, new RegisterValue(1, "x".repeat(RegisterValue.MOST_BYTES + 1)))));
+        v.handle(
+            new ConsensusMessage.Accept(
+                1, "r", b, new RegisterValue(1, "x".repeat(RegisterValue.MOST_BYTES + 1)))));
     assertTrue(
         v.handle(new ConsensusMessage.Accept(1, "r", b, new RegisterValue(1, "x"))).answer()
             instanceof ConsensusMessage.Accepted);
-    assertTrue(v.handle(new ConsensusMessage.Prepare(2, "r", b)).answer() instanceof ConsensusMessage.Refused);
+    assertTrue(
+        v.handle(new ConsensusMessage.Prepare(2, "r", b)).answer()
+            instanceof ConsensusMessage.Refused);
   }
 
   /**
@@ -82,13 +86,18 @@
     Ballot b = new Ballot(3, "q");
     p.read(0, "r", 9);
     p.receive(0, "v0", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x")));
-    p.receive(0, "v0", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x"))); // said twice, it counts once
+    p.receive(
+        0,
+        "v0",
+        new ConsensusMessage.ReadResult(
+            1, b, new RegisterValue(2, "x"))); // said twice, it counts once
     assertTrue(done.isEmpty());
     p.receive(0, "v2", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x")));
     assertTrue(done.get(0).text().equals("x") && sent.size() == 3);
     p.read(0, "r", 9);
     p.receive(0, "v0", new ConsensusMessage.ReadResult(2, b, new RegisterValue(2, "x")));
-    p.receive(0, "v1", new ConsensusMessage.ReadResult(2, new Ballot(2, "q"), new RegisterValue(1, "w")));
+    p.receive(
+        0, "v1", new ConsensusMessage.ReadResult(2, new Ballot(2, "q"), new RegisterValue(1, "w")));
     assertEquals("two differ: the third may agree with one of them", 6, sent.size());
     p.receive(0, "v2", new ConsensusMessage.ReadResult(2, new Ballot(1, "q"), RegisterValue.NONE));
     assertTrue(done.size() == 1 && sent.get(8) instanceof ConsensusMessage.Prepare);
--- a/src/test/java/umberrun/consensus/RegisterSeedsTest.java
+++ b/src/test/java/umberrun/consensus/RegisterSeedsTest.java
@@ -110,7 +110,11 @@
             new Factory() {
               @Override
               public VoterReplacement succession(
-                  VoterSet known, String comes, String leaves, long until, VoterReplacement.Outbox out) {
+                  VoterSet known,
+                  String comes,
+                  String leaves,
+                  long until,
+                  VoterReplacement.Outbox out) {
                 return new VoterReplacement(known, comes, leaves, until, out) {
                   @Override
                   protected VoterSet step() {
@@ -132,7 +136,11 @@
             new Factory() {
               @Override
               public VoterReplacement succession(
-                  VoterSet known, String comes, String leaves, long until, VoterReplacement.Outbox out) {
+                  VoterSet known,
+                  String comes,
+                  String leaves,
+                  long until,
+                  VoterReplacement.Outbox out) {
                 return new VoterReplacement(known, comes, leaves, until, out) {
                   @Override
                   protected boolean carriesOver() {
@@ -160,7 +168,8 @@
 
                   @Override
                   public Voter.VoteResult handle(long epoch, ConsensusMessage m) {
-                    return super.handle(m instanceof ConsensusMessage.Install ? epoch : taken().epoch(), m);
+                    return super.handle(
+                        m instanceof ConsensusMessage.Install ? epoch : taken().epoch(), m);
                   }
                 };
               }
--- a/src/test/java/umberrun/consensus/disk/VoterStoreTest.java
+++ b/src/test/java/umberrun/consensus/disk/VoterStoreTest.java
@@ -92,7 +92,8 @@
     try (VoterStore f = VoterStore.open(folder, "v0")) {
       f.write(
           List.of(
-              new Voter(f.slots(), 16).handle(new ConsensusMessage.Prepare(9, "r", new Ballot(9, "q")))));
+              new Voter(f.slots(), 16)
+                  .handle(new ConsensusMessage.Prepare(9, "r", new Ballot(9, "q")))));
     }
     Files.write(folder.resolve("registers.mv"), old);
     assertTrue(
@@ -124,7 +125,8 @@
     Map<String, Voter.Slot> before = new TreeMap<>(f.slots());
     f.close(); // as if the disk had gone
     List<Voter.VoteResult> steps =
-        List.of(new Voter(before, 16).handle(new ConsensusMessage.Prepare(7, "r", new Ballot(7, "q"))));
+        List.of(
+            new Voter(before, 16).handle(new ConsensusMessage.Prepare(7, "r", new Ballot(7, "q"))));
     assertThrows(IOException.class, () -> f.write(steps));
     assertThrows(IOException.class, () -> f.write(steps));
     assertEquals(before, slots(folder, "v0"));
--- a/src/test/java/umberrun/consensus/net/ConsensusCodecTest.java
+++ b/src/test/java/umberrun/consensus/net/ConsensusCodecTest.java
@@ -70,7 +70,8 @@
         byte[] torn = Arrays.copyOf(whole, n);
         assertTrue(
             m + " is another one of " + n + " bytes",
-            isRefused(torn) || ConsensusCodec.read(torn).equals(envelope(m))); // but for its empty end
+            isRefused(torn)
+                || ConsensusCodec.read(torn).equals(envelope(m))); // but for its empty end
       }
       for (int i = 0; i < 3_000; i++) {
         byte[] spoilt = whole.clone();
--- a/src/test/java/umberrun/core/WorkerSuspensionsTest.java
+++ b/src/test/java/umberrun/core/WorkerSuspensionsTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.Test;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.core.WorkerSuspensions.EffectiveState;
 
 /** What operators and plans have said of workers, over what the list says. */
@@ -18,15 +18,23 @@
   @Test
   public void aBanLiesOverTheList() {
     bans.suspend("s", 50);
-    assertEquals(new EffectiveState(State.DRAINING, 50, 7), bans.over("s", State.READY, 0, 7));
-    assertEquals(new EffectiveState(State.DRAINING, 50, 7), bans.over("s", State.DRAINING, 40, 7));
-    assertEquals(new EffectiveState(State.GONE, 50, 7), bans.over("s", State.GONE, 60, 7));
-    assertEquals(new EffectiveState(State.READY, WorkerSuspensions.NEVER, 0), bans.over("other", State.READY, 0, 0));
+    assertEquals(
+        new EffectiveState(WorkerState.DRAINING, 50, 7), bans.over("s", WorkerState.READY, 0, 7));
+    assertEquals(
+        new EffectiveState(WorkerState.DRAINING, 50, 7),
+        bans.over("s", WorkerState.DRAINING, 40, 7));
+    assertEquals(
+        new EffectiveState(WorkerState.GONE, 50, 7), bans.over("s", WorkerState.GONE, 60, 7));
+    assertEquals(
+        new EffectiveState(WorkerState.READY, WorkerSuspensions.NEVER, 0),
+        bans.over("other", WorkerState.READY, 0, 0));
   }
 
   @Test
   public void aDrainOfTheListKeepsItsGrace() {
-    assertEquals(new EffectiveState(State.DRAINING, 800_040, 0), bans.over("s", State.DRAINING, 40, 0));
+    assertEquals(
+        new EffectiveState(WorkerState.DRAINING, 800_040, 0),
+        bans.over("s", WorkerState.DRAINING, 40, 0));
   }
 
   /**
@@ -37,19 +45,21 @@
   public void whoComesBackIsNew() {
     bans.suspend("s", 50);
     bans.suspend("s", 60);
-    assertEquals("the first time counts", 50, bans.over("s", State.READY, 0, 0).stopAt());
+    assertEquals("the first time counts", 50, bans.over("s", WorkerState.READY, 0, 0).stopAt());
     bans.resume("s", 90);
     bans.resume("s", 95);
-    assertEquals(new EffectiveState(State.READY, WorkerSuspensions.NEVER, 90), bans.over("s", State.READY, 0, 7));
-    assertEquals(100, bans.over("s", State.READY, 0, 100).since());
-    assertEquals(State.DRAINING, bans.over("s", State.DRAINING, 40, 7).state());
+    assertEquals(
+        new EffectiveState(WorkerState.READY, WorkerSuspensions.NEVER, 90),
+        bans.over("s", WorkerState.READY, 0, 7));
+    assertEquals(100, bans.over("s", WorkerState.READY, 0, 100).since());
+    assertEquals(WorkerState.DRAINING, bans.over("s", WorkerState.DRAINING, 40, 7).state());
   }
 
   /** Without a ban a call back changes nothing: no worker turns cold by it. */
   @Test
   public void aCallBackWithoutABanChangesNothing() {
     bans.resume("s", 90);
-    assertEquals(0, bans.over("s", State.READY, 0, 0).since());
+    assertEquals(0, bans.over("s", WorkerState.READY, 0, 0).since());
   }
 
   @Test
@@ -59,7 +69,7 @@
     assertEquals(Set.of("b", "c", "d"), bans.replace(Map.of("a", 1L, "c", 3L), Map.of("d", 4L)));
     assertTrue(bans.isOut("a") && bans.isOut("c"));
     assertFalse(bans.isOut("b"));
-    assertEquals(4, bans.over("d", State.READY, 0, 0).since());
+    assertEquals(4, bans.over("d", WorkerState.READY, 0, 0).since());
     assertEquals(Set.of(), bans.replace(Map.of("a", 1L, "c", 3L), Map.of("d", 4L)));
   }
 }
--- a/src/test/java/umberrun/fleet/FleetSeedsTest.java
+++ b/src/test/java/umberrun/fleet/FleetSeedsTest.java
@@ -221,7 +221,8 @@
   // ---------------------------------------------------------------- hard cases, one by one
 
   private static FleetSimulation fleet(int size) {
-    FleetSimulation t = new FleetSimulation(size, FleetSimulation.settings(size), 42, Membership::new);
+    FleetSimulation t =
+        new FleetSimulation(size, FleetSimulation.settings(size), 42, Membership::new);
     assertTrue(t.unsettled(), t.settle(BOUND) >= 0);
     return t;
   }
@@ -282,7 +283,8 @@
     t.process(5)
         .receive(
             t.clock(5),
-            new GossipMessage(GossipMessage.Kind.PING, 1, "n5", "", before, List.of())); // a late word
+            new GossipMessage(
+                GossipMessage.Kind.PING, 1, "n5", "", before, List.of())); // a late word
     assertNull(t.unsettled());
   }
 
--- a/src/test/java/umberrun/learning/FactStoreTest.java
+++ b/src/test/java/umberrun/learning/FactStoreTest.java
@@ -13,12 +13,12 @@
 import java.util.Random;
 import java.util.Set;
 import org.junit.Test;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.WorkerState;
 import umberrun.learning.Fact.Kind;
 import umberrun.learning.Fact.Subject;
 import umberrun.learning.Fact.Value;
-import umberrun.learning.FactPage.UnusablePage;
 import umberrun.learning.FactFilter.WorkerStatus;
+import umberrun.learning.FactPage.UnusablePage;
 
 /** How facts merge and age, and which of them may not be believed. */
 public class FactStoreTest {
@@ -95,23 +95,26 @@
     long now = 100 * SECOND;
     Fact copy = fact(Kind.COPY, "s", now - SECOND, "o");
     Fact worker = fact(Kind.WORKER, "s", now - SECOND, "o");
-    assertTrue(screen.admits(copy, new WorkerStatus(State.READY, 0), now));
-    assertFalse("drained", screen.admits(copy, new WorkerStatus(State.DRAINING, 0), now));
-    assertFalse("gone", screen.admits(copy, new WorkerStatus(State.GONE, 0), now));
+    assertTrue(screen.admits(copy, new WorkerStatus(WorkerState.READY, 0), now));
+    assertFalse("drained", screen.admits(copy, new WorkerStatus(WorkerState.DRAINING, 0), now));
+    assertFalse("gone", screen.admits(copy, new WorkerStatus(WorkerState.GONE, 0), now));
     assertFalse("never listed", screen.admits(copy, null, now));
     assertFalse(
         "from before its start",
-        screen.admits(copy, new WorkerStatus(State.READY, now - SECOND / 2), now));
+        screen.admits(copy, new WorkerStatus(WorkerState.READY, now - SECOND / 2), now));
     assertTrue(
-        "from after it", screen.admits(copy, new WorkerStatus(State.READY, now - 2 * SECOND), now));
+        "from after it",
+        screen.admits(copy, new WorkerStatus(WorkerState.READY, now - 2 * SECOND), now));
     assertFalse(
         "cold by the list",
-        screen.admits(worker, new WorkerStatus(State.READY, now - 2 * SECOND), now));
-    assertTrue(screen.admits(worker, new WorkerStatus(State.READY, 0), now));
+        screen.admits(worker, new WorkerStatus(WorkerState.READY, now - 2 * SECOND), now));
+    assertTrue(screen.admits(worker, new WorkerStatus(WorkerState.READY, 0), now));
     assertFalse(
         "too old",
         screen.admits(
-            fact(Kind.COPY, "s", now - 31 * SECOND, "o"), new WorkerStatus(State.READY, 0), now));
+            fact(Kind.COPY, "s", now - 31 * SECOND, "o"),
+            new WorkerStatus(WorkerState.READY, 0),
+            now));
   }
 
   /** From a far-off prior the half-life that facts really have is found. */
@@ -139,7 +142,8 @@
     long here = 17 * SECOND;
     List<Fact> facts =
         List.of(fact(Kind.COPY, "s", there - 3 * SECOND, "a"), fact(Kind.FUNCTION, "", there, "b"));
-    FactPage page = FactPage.read(FactPage.write("e", 5 * SECOND, facts, 0, 10_000, there), here, SECOND / 2);
+    FactPage page =
+        FactPage.read(FactPage.write("e", 5 * SECOND, facts, 0, 10_000, there), here, SECOND / 2);
     assertEquals(
         List.of(here - 3 * SECOND - SECOND / 2, here - SECOND / 2),
         page.facts().stream().map(Fact::seenAt).toList());
--- a/src/test/java/umberrun/learning/SimulatedFleet.java
+++ b/src/test/java/umberrun/learning/SimulatedFleet.java
@@ -97,7 +97,8 @@
     this.callsASecond = callsASecond;
     random = new Random(seed);
     CallClass kind =
-        new CallClass(400 * MS, 0, 4 * SECOND, Effect.SAFE, Group.ALL, 0, 1, 0.2, false);
+        new CallClass(
+            400 * MS, 0, 4 * SECOND, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false);
     settings =
         new Settings(
             0,
@@ -112,8 +113,8 @@
             List.of(),
             new Limits(true, true, true, false, true, SECOND, 6, 250 * MS),
             new Rules(16 * MS, 10 * SECOND, SECOND, 17 * SECOND, 0.18, SECOND, 2),
-            new Loads(true, true, 5 * SECOND, 4, 0.15, KEEP, true, true, 0.05),
-            new Report(Via.PROBES, List.of()),
+            new LoadPolicy(true, true, 5 * SECOND, 4, 0.15, KEEP, true, true, 0.05),
+            new LoadReportFormat(ReportDelivery.PROBES, List.of()),
             new Costs(0.02, 0.02, 0.16, 0.05, 0.027, 0));
     workers = new Worker[workerCount];
     for (int i = 0; i < workerCount; i++) {
@@ -128,9 +129,9 @@
 
   /** An instance starts, or starts anew with nothing but the list of workers. */
   void start(int instance) {
-    List<Member> members = new ArrayList<>();
+    List<WorkerEntry> members = new ArrayList<>();
     for (int w = 0; w < workers.length; w++) {
-      members.add(new Member(w * 0x9E3779B1, w % 3, 0, 0, State.READY, 1, 0));
+      members.add(new WorkerEntry(w * 0x9E3779B1, w % 3, 0, 0, WorkerState.READY, 1, 0));
     }
     AdaptiveDispatcher[] self = new AdaptiveDispatcher[1];
     Consumer<Action> out = a -> act(instance, self[0], a);
@@ -138,48 +139,52 @@
     self[0] = new AdaptiveDispatcher(settings, random.nextLong(), now, first::add);
     instances[instance] = self[0];
     first.forEach(out);
-    self[0].handle(now, new Members(ListKind.FULL, members), out);
+    self[0].handle(now, new WorkerListUpdate(ListKind.FULL, members), out);
   }
 
   /** Tells each instance how many there are. */
   void siblings(double count) {
     for (int i = 0; i < instances.length; i++) {
-      tell(i, instances[i], new Siblings(count, count));
+      tell(i, instances[i], new FleetSizeUpdate(count, count));
     }
   }
 
   /** One instance learns what another saw, {@code age} ago. */
   void learn(int instance, int from, long age, FactHalfLife calibration) {
     AdaptiveDispatcher module = instances[instance];
-    instances[from].recall(
+    instances[from].exportObservations(
         now,
         k -> {
-          if (k instanceof KnownCopy c) {
+          if (k instanceof CopyObservation c) {
             module.handle(
                 now,
-                new KnownCopy(
+                new CopyObservation(
                     c.worker(),
                     c.function(),
                     c.age() + age,
                     calibration.weight(Fact.Kind.COPY, c.age() + age)),
                 a -> act(instance, module, a));
-          } else if (k instanceof KnownFunction f) {
+          } else if (k instanceof FunctionObservation f) {
             module.handle(
                 now,
-                new KnownFunction(
+                new FunctionObservation(
                     f.function(),
                     f.callClass(),
                     f.lanes(),
                     f.loadTime(),
-                    f.recent(),
+                    f.recentCalls(),
                     f.age() + age,
                     calibration.weight(Fact.Kind.FUNCTION, f.age() + age)),
                 a -> act(instance, module, a));
-          } else if (k instanceof KnownWorker w) {
+          } else if (k instanceof WorkerObservation w) {
             module.handle(
                 now,
-                new KnownWorker(
-                    w.worker(), w.pace(), w.bad(), age, calibration.weight(Fact.Kind.WORKER, age)),
+                new WorkerObservation(
+                    w.worker(),
+                    w.latencyRatio(),
+                    w.failureRate(),
+                    age,
+                    calibration.weight(Fact.Kind.WORKER, age)),
                 a -> act(instance, module, a));
           }
         });
@@ -212,7 +217,7 @@
           begunAt.put(calls, now);
           module.handle(
               now,
-              new Call(calls++, PATIENCE, 0, function, 4, 512, 0, 0, false, false, LOAD),
+              new CallArrival(calls++, PATIENCE, 0, function, 4, 512, 0, 0, false, false, LOAD),
               a -> act(instance, module, a));
           arrive(instance);
         });
@@ -222,8 +227,8 @@
     if (module != instances[instance]) { // of a life that is over
       return;
     }
-    if (action instanceof Timer t) {
-      at(now + Math.max(1, t.delay()), () -> tell(instance, module, new Due(t.token())));
+    if (action instanceof StartTimer t) {
+      at(now + Math.max(1, t.delay()), () -> tell(instance, module, new TimerFired(t.token())));
     } else if (action instanceof Log l
         && l.text().startsWith("worker ")
         && l.text().contains("benched")) {
@@ -237,11 +242,15 @@
       over += begunAt.remove(f.call()) == null ? 0 : 1;
     } else if (action instanceof Send s) {
       run(instance, module, s);
-    } else if (action instanceof Hold h) {
+    } else if (action instanceof Preload h) {
       long stands = stand(worker(h.worker()), h.function());
       at(
           Math.max(now + MS, stands),
-          () -> tell(instance, module, new Loaded(0, 1, h.worker(), Code.OK, h.function())));
+          () ->
+              tell(
+                  instance,
+                  module,
+                  new PreloadResult(0, 1, h.worker(), OutcomeCode.OK, h.function())));
     }
   }
 
@@ -281,7 +290,8 @@
       AdaptiveDispatcher module = instances[i];
       at(
           now + ROUND_TRIP,
-          () -> tell(to, module, new KnownWorker(id(worker), pace, bad, now - seenAt, weight)));
+          () ->
+              tell(to, module, new WorkerObservation(id(worker), pace, bad, now - seenAt, weight)));
     }
   }
 
@@ -305,14 +315,14 @@
               tell(
                   instance,
                   module,
-                  new Outcome(
+                  new AttemptOutcome(
                       s.call(),
                       attempt,
                       s.worker(),
-                      Code.ERROR,
+                      OutcomeCode.ERROR,
                       WORK,
                       false,
-                      Note.NONE,
+                      CopyStatus.NONE,
                       -1,
                       null)));
       return;
@@ -330,14 +340,14 @@
             tell(
                 instance,
                 module,
-                new Outcome(
+                new AttemptOutcome(
                     s.call(),
                     attempt,
                     s.worker(),
-                    Code.TIMEOUT,
+                    OutcomeCode.TIMEOUT,
                     wait,
                     ends || !begunAt.containsKey(s.call()),
-                    Note.NONE,
+                    CopyStatus.NONE,
                     -1,
                     null));
           });
@@ -350,7 +360,8 @@
         Math.max(0, stand(w, function) - now)
             + (long) (slow.getOrDefault(number, 1.0) * (WORK / 2 + random.nextDouble() * WORK));
     metLoad += instance == watched && !stood ? 1 : 0;
-    Note note = stood ? Note.WARM : loading ? Note.JOINED_LOAD : Note.BEGAN_LOAD;
+    CopyStatus note =
+        stood ? CopyStatus.WARM : loading ? CopyStatus.JOINED_LOAD : CopyStatus.BEGAN_LOAD;
     at(
         now + took,
         () -> {
@@ -363,7 +374,8 @@
           tell(
               instance,
               module,
-              new Outcome(s.call(), attempt, s.worker(), Code.OK, took, true, note, 1, null));
+              new AttemptOutcome(
+                  s.call(), attempt, s.worker(), OutcomeCode.OK, took, true, note, 1, null));
         });
   }
 
--- a/src/test/java/umberrun/lease/LeaseModelTest.java
+++ b/src/test/java/umberrun/lease/LeaseModelTest.java
@@ -5,10 +5,10 @@
 import static org.junit.Assert.assertTrue;
 
 import org.junit.Test;
-import umberrun.lease.sim.LeaseSimulation.Fault;
-import umberrun.lease.sim.LeaseSimulation.Factory;
 import umberrun.lease.sim.LeaseModel;
 import umberrun.lease.sim.LeaseModel.Bounds;
+import umberrun.lease.sim.LeaseSimulation.Factory;
+import umberrun.lease.sim.LeaseSimulation.Fault;
 import umberrun.sim.ModelChecker;
 
 /**
--- a/src/test/java/umberrun/lease/LeaseSeedsTest.java
+++ b/src/test/java/umberrun/lease/LeaseSeedsTest.java
@@ -12,8 +12,8 @@
 import umberrun.consensus.Proposer;
 import umberrun.consensus.RegisterValue;
 import umberrun.lease.sim.LeaseSimulation;
-import umberrun.lease.sim.LeaseSimulation.Fault;
 import umberrun.lease.sim.LeaseSimulation.Factory;
+import umberrun.lease.sim.LeaseSimulation.Fault;
 
 /** One duty under faults that a seed draws, and variants broken on purpose that must be caught. */
 public class LeaseSeedsTest {
--- a/src/test/java/umberrun/worker/WorkerPoolTest.java
+++ b/src/test/java/umberrun/worker/WorkerPoolTest.java
@@ -17,8 +17,8 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.TimeUnit;
 import org.junit.Test;
-import saddlestall.Dispatcher.Code;
-import saddlestall.Dispatcher.State;
+import saddlestall.Dispatcher.OutcomeCode;
+import saddlestall.Dispatcher.WorkerState;
 import saddlestall.benchlink.SettingsJson;
 import umberrun.admission.ConnectionLimits;
 import umberrun.admission.ConnectionLimits.Purpose;
@@ -56,18 +56,18 @@
             new ConnectionLimits(256, false, false, 0),
             LEASES);
     for (int id = 0; id < 10; id++) {
-      pool.update(id, endpoint(id, State.READY), 0);
-      pool.update(id, endpoint(id, State.GONE), 1);
+      pool.update(id, endpoint(id, WorkerState.READY), 0);
+      pool.update(id, endpoint(id, WorkerState.GONE), 1);
     }
     assertEquals(0, pool.known());
     vertx.close();
   }
 
-  private static Endpoint endpoint(int id, State state) {
+  private static Endpoint endpoint(int id, WorkerState state) {
     return endpoint(id, 1, state);
   }
 
-  private static Endpoint endpoint(int id, int port, State state) {
+  private static Endpoint endpoint(int id, int port, WorkerState state) {
     return new Endpoint("s" + id, "127.0.0.1", port, 0, 0, 0, state, 1, 0);
   }
 
@@ -106,7 +106,7 @@
     Vertx vertx = Vertx.vertx();
     int bytes = 32 << 20; // more than the system takes in for a reader that does not read
     try (ServerSocket worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      CompletableFuture<Code> end = new CompletableFuture<>();
+      CompletableFuture<OutcomeCode> end = new CompletableFuture<>();
       vertx.runOnContext(
           v -> {
             WorkerConnection link =
@@ -138,7 +138,7 @@
                     });
           });
       try (Socket s = worker.accept()) {
-        assertEquals(Code.RESET, end.get(10, TimeUnit.SECONDS));
+        assertEquals(OutcomeCode.RESET, end.get(10, TimeUnit.SECONDS));
         long read = s.getInputStream().transferTo(OutputStream.nullOutputStream());
         assertTrue(read + " bytes", read < bytes);
       }
@@ -147,7 +147,7 @@
     }
   }
 
-  private static PendingCommand command(int bytes, CompletableFuture<Code> end) {
+  private static PendingCommand command(int bytes, CompletableFuture<OutcomeCode> end) {
     return new PendingCommand(Buffer.buffer("9b1f"), Long.MAX_VALUE / 2) {
       @Override
       Buffer command(long now) {
@@ -158,7 +158,7 @@
       void answered(List<Buffer> parts) {}
 
       @Override
-      void lost(Code code) {
+      void lost(OutcomeCode code) {
         end.complete(code);
       }
     };
@@ -203,14 +203,14 @@
     void command(int id) {
       context.runOnContext(
           v -> {
-            pool.update(id, endpoint(id, port, State.READY), Long.MAX_VALUE);
+            pool.update(id, endpoint(id, port, WorkerState.READY), Long.MAX_VALUE);
             pool.free(id, Buffer.buffer("7f3a9c21e0b4d655"));
           });
     }
 
     void drain(int id) {
       context.runOnContext(
-          v -> pool.update(id, endpoint(id, port, State.DRAINING), Long.MAX_VALUE));
+          v -> pool.update(id, endpoint(id, port, WorkerState.DRAINING), Long.MAX_VALUE));
     }
 
     @Override
--- a/src/test/java/umberrun/workerlist/LongPollerTest.java
+++ b/src/test/java/umberrun/workerlist/LongPollerTest.java
@@ -116,7 +116,8 @@
             .actualPort();
     loop.runOnContext(
         v ->
-            new LongPoller(vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), new Counters())
+            new LongPoller(
+                    vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), new Counters())
                 .ask(
                     HttpMethod.GET,
                     "/",
--- a/src/test/java/umberrun/works/WorksFigures.java
+++ b/src/test/java/umberrun/works/WorksFigures.java
@@ -64,7 +64,8 @@
               public PlanExecutor driver(long fence) {
                 return new PlanExecutor(WorksSimulation.SETTINGS, fence) {
                   @Override
-                  public PlannedStep next(long now, Ledger l, MachineView w, List<FrontEndReport> reports) {
+                  public PlannedStep next(
+                      long now, Ledger l, MachineView w, List<FrontEndReport> reports) {
                     long asked = System.nanoTime();
                     PlannedStep next = super.next(now, l, w, reports);
                     nanos[0] += System.nanoTime() - asked;
@@ -72,7 +73,8 @@
                   }
 
                   @Override
-                  public List<CopyMove> moves(Ledger l, MachineView w, List<FrontEndReport> reports) {
+                  public List<CopyMove> moves(
+                      Ledger l, MachineView w, List<FrontEndReport> reports) {
                     long asked = System.nanoTime();
                     List<CopyMove> moves = super.moves(l, w, reports);
                     nanos[0] += System.nanoTime() - asked;
@@ -80,7 +82,8 @@
                   }
 
                   @Override
-                  protected List<MachineOrder.Place> order(Ledger l, MachineView w, List<FrontEndReport> reports) {
+                  protected List<MachineOrder.Place> order(
+                      Ledger l, MachineView w, List<FrontEndReport> reports) {
                     List<MachineOrder.Place> places = new ArrayList<>(super.order(l, w, reports));
                     if (how.equals("random")) {
                       Collections.shuffle(places, random);
@@ -89,7 +92,8 @@
                     }
                     places.sort(
                         Comparator.comparing(
-                            (MachineOrder.Place p) -> !p.may())); // what may not go stays where it is
+                            (MachineOrder.Place p) ->
+                                !p.may())); // what may not go stays where it is
                     return places;
                   }
                 };
--- a/src/test/java/umberrun/works/WorksRulesTest.java
+++ b/src/test/java/umberrun/works/WorksRulesTest.java
@@ -148,19 +148,24 @@
     assertEquals(List.of("f1"), MachineOrder.lastCopies("x0", l, world(), told));
     assertEquals(List.of(), MachineOrder.lastCopies("x1", l, world(), told));
     List<MachineOrder.Place> places = MachineOrder.of(l, world(), told);
-    assertEquals(List.of("y0", "x1", "x0"), places.stream().map(MachineOrder.Place::machine).toList());
+    assertEquals(
+        List.of("y0", "x1", "x0"), places.stream().map(MachineOrder.Place::machine).toList());
     Ledger out = l.stage(1, "x1", Stage.MOVING, 5, "");
     List<MachineOrder.Place> then = MachineOrder.of(out, world(), told);
     assertFalse(
         then.stream().filter(p -> p.machine().equals("y0")).findFirst().orElseThrow().may());
     assertTrue(then.toString(), then.toString().contains("another hall is touched"));
     assertEquals(
-        "f2 is the last one at x1's going", List.of(), MachineOrder.lastCopies("x1", out, world(), told));
-    assertTrue(MachineOrder.of(l, world("y0", "y1", "y2", "x2"), told).toString().contains("must stay"));
+        "f2 is the last one at x1's going",
+        List.of(),
+        MachineOrder.lastCopies("x1", out, world(), told));
+    assertTrue(
+        MachineOrder.of(l, world("y0", "y1", "y2", "x2"), told).toString().contains("must stay"));
     assertEquals("x2", MachineOrder.target("x0", l, world(), told));
   }
 
-  private static PlanExecutor.PlannedStep next(PlanExecutor d, long at, Ledger l, MachineView w, List<FrontEndReport> told) {
+  private static PlanExecutor.PlannedStep next(
+      PlanExecutor d, long at, Ledger l, MachineView w, List<FrontEndReport> told) {
     return d.next(at, l, w, told);
   }
 
--- a/src/test/java/umberrun/works/WorksSeedsTest.java
+++ b/src/test/java/umberrun/works/WorksSeedsTest.java
@@ -47,7 +47,8 @@
   private String play(long seed, Factory maker) {
     SplittableRandom random = new SplittableRandom(seed);
     WorksSimulation t =
-        new WorksSimulation(3 + random.nextInt(3), 1 + random.nextInt(3), 3, random.nextLong(), maker);
+        new WorksSimulation(
+            3 + random.nextInt(3), 1 + random.nextInt(3), 3, random.nextLong(), maker);
     int atOnce = 1 + random.nextInt(2);
     try {
       t.run(2 * SECOND);
