--- a/src/main/java/umberrun/cli/LeaseCommands.java
+++ b/src/main/java/umberrun/cli/LeaseCommands.java
@@ -19,7 +19,7 @@
   private LeaseCommands() {}
 
   /** What they have in common: a member is asked, and its no is one line and status 1. */
-  abstract static class Asking implements Callable<Integer> {
+  abstract static class OperatorCall implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Mixin private FleetCommand.Member member;
@@ -58,7 +58,7 @@
       mixinStandardHelpOptions = true,
       description = "Which duty is whose, as one member knows it.",
       subcommands = Release.class)
-  static final class Leases extends Asking {
+  static final class Leases extends OperatorCall {
     @Override
     void run(PrintWriter out) throws IOException {
       JsonObject o = call("show");
@@ -87,7 +87,7 @@
       mixinStandardHelpOptions = true,
       description =
           "Has the holder of a duty give it back, and stay out of it for two lengths of a lease.")
-  static final class Release extends Asking {
+  static final class Release extends OperatorCall {
     @Parameters(index = "1", paramLabel = "DUTY", description = "as the table has it")
     private String duty;
 
@@ -102,7 +102,7 @@
       name = "register",
       mixinStandardHelpOptions = true,
       description = "What a register holds, as a majority agrees.")
-  static final class Register extends Asking {
+  static final class Register extends OperatorCall {
     @Parameters(index = "1", paramLabel = "NAME", description = "as duty/probe/hall-a")
     private String name;
 
@@ -120,7 +120,7 @@
       mixinStandardHelpOptions = true,
       description = "Who votes, as one member knows it.",
       subcommands = {Found.class, Replace.class})
-  static final class VotersCommand extends Asking {
+  static final class VotersCommand extends OperatorCall {
     @Override
     void run(PrintWriter out) throws IOException {
       JsonObject o = call("voters");
@@ -135,7 +135,7 @@
       mixinStandardHelpOptions = true,
       description =
           "Founds the first set, of those that the operator's files name; all must answer, and none have voted.")
-  static final class Found extends Asking {
+  static final class Found extends OperatorCall {
     @Override
     void run(PrintWriter out) throws IOException, InterruptedException {
       call("found");
@@ -149,7 +149,7 @@
       description =
           "Has a front end vote in the place of another, or one that "
               + "lost its folder in its own; without names it goes on with what was begun.")
-  static final class Replace extends Asking {
+  static final class Replace extends OperatorCall {
     @Parameters(index = "1", arity = "0..1", paramLabel = "LEAVES", description = "name of a voter")
     private String leaves;
 
@@ -171,7 +171,8 @@
   }
 
   /** Waits until what was begun at a member has ended there. */
-  private static void await(Asking a, PrintWriter out) throws IOException, InterruptedException {
+  private static void await(OperatorCall a, PrintWriter out)
+      throws IOException, InterruptedException {
     JsonObject o = a.call("voters");
     while (o.get("busy").getAsBoolean()) {
       Thread.sleep(ASK_MILLIS);
--- a/src/main/java/umberrun/cli/WorksCommand.java
+++ b/src/main/java/umberrun/cli/WorksCommand.java
@@ -24,7 +24,7 @@
     mixinStandardHelpOptions = true,
     description = "Machines taken out for work, in an order the front ends settle.",
     subcommands = {
-      WorksCommand.PlanIt.class,
+      WorksCommand.PlanCommand.class,
       WorksCommand.Show.class,
       WorksCommand.Watch.class,
       WorksCommand.Why.class,
@@ -48,7 +48,7 @@
   }
 
   /** What they have in common: any front end is asked, and its no is one line and status 1. */
-  abstract static class Order implements Callable<Integer> {
+  abstract static class WorksRequest implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Mixin private FleetCommand.Member member;
@@ -109,7 +109,7 @@
   }
 
   /** One that names a plan, a machine or a front end. */
-  abstract static class Named extends Order {
+  abstract static class NamedRequest extends WorksRequest {
     @Parameters(
         index = "1",
         paramLabel = "NAME",
@@ -118,7 +118,7 @@
 
     private final String verb;
 
-    Named(String verb) {
+    NamedRequest(String verb) {
       this.verb = verb;
     }
 
@@ -132,7 +132,7 @@
       name = "plan",
       mixinStandardHelpOptions = true,
       description = "Has machines taken out: by name, or all that match.")
-  static final class PlanIt extends Order {
+  static final class PlanCommand extends WorksRequest {
     @Option(names = "--id", required = true, description = "name of the plan")
     private String id;
 
@@ -258,7 +258,7 @@
       name = "show",
       mixinStandardHelpOptions = true,
       description = "Plans, machines, and for whom they wait; the trail at the end.")
-  static final class Show extends Order {
+  static final class Show extends WorksRequest {
     @Override
     JsonObject order() {
       return order("show", "");
@@ -269,7 +269,7 @@
       name = "watch",
       mixinStandardHelpOptions = true,
       description = "The same each second until all plans are over.")
-  static final class Watch extends Order {
+  static final class Watch extends WorksRequest {
     @Override
     JsonObject order() {
       return order("show", "");
@@ -291,7 +291,7 @@
       name = "why",
       mixinStandardHelpOptions = true,
       description = "Why a machine waits, or is where it is.")
-  static final class Why extends Named {
+  static final class Why extends NamedRequest {
     Why() {
       super("why");
     }
@@ -315,7 +315,7 @@
       name = "pause",
       mixinStandardHelpOptions = true,
       description = "Nobody new of a plan goes.")
-  static final class Pause extends Named {
+  static final class Pause extends NamedRequest {
     Pause() {
       super("pause");
     }
@@ -325,7 +325,7 @@
       name = "resume",
       mixinStandardHelpOptions = true,
       description = "A plan that was paused or stopped goes on.")
-  static final class Resume extends Named {
+  static final class Resume extends NamedRequest {
     Resume() {
       super("resume");
     }
@@ -335,7 +335,7 @@
       name = "cancel",
       mixinStandardHelpOptions = true,
       description = "Ends a plan; what is free for work stays out until 'done'.")
-  static final class Cancel extends Named {
+  static final class Cancel extends NamedRequest {
     Cancel() {
       super("cancel");
     }
@@ -345,14 +345,14 @@
       name = "urgent",
       mixinStandardHelpOptions = true,
       description = "A plan's machines go before those of others.")
-  static final class Urgent extends Named {
+  static final class Urgent extends NamedRequest {
     Urgent() {
       super("urgent");
     }
   }
 
   @Command(name = "skip", mixinStandardHelpOptions = true, description = "A machine is left out.")
-  static final class Skip extends Named {
+  static final class Skip extends NamedRequest {
     Skip() {
       super("skip");
     }
@@ -362,7 +362,7 @@
       name = "done",
       mixinStandardHelpOptions = true,
       description = "The work on a machine has ended: it may serve.")
-  static final class Done extends Named {
+  static final class Done extends NamedRequest {
     Done() {
       super("done");
     }
@@ -372,7 +372,7 @@
       name = "force",
       mixinStandardHelpOptions = true,
       description = "One front end's silence counts as a yes for a machine.")
-  static final class Force extends Named {
+  static final class Force extends NamedRequest {
     @Parameters(
         index = "2",
         paramLabel = "FRONT-END",
@@ -395,7 +395,7 @@
       name = "strike",
       mixinStandardHelpOptions = true,
       description = "Takes a front end off the roll that will not come back.")
-  static final class Strike extends Named {
+  static final class Strike extends NamedRequest {
     Strike() {
       super("strike");
     }
--- a/src/main/java/umberrun/fleet/FleetShare.java
+++ b/src/main/java/umberrun/fleet/FleetShare.java
@@ -17,7 +17,9 @@
   /** Whether a dead member may yet live on the other side of a cut. */
   private static boolean mayLive(MembershipSettings s, Peer p, long now) {
     long dead = now - p.since;
-    return p.claim.status() == Status.DEAD && dead < s.forget() && !(p.refused && dead >= s.sure());
+    return p.claim.status() == Status.DEAD
+        && dead < s.deadRetention()
+        && !(p.refused && dead >= s.deadConfirmation());
   }
 
   /** How many are dead that may yet live. */
@@ -65,7 +67,7 @@
     }
     double share = own.informed ? counted : Math.max(counted, s.frontEndCount());
     boolean alone = s.seeds().isEmpty() && own.metAt == 0;
-    boolean settles = now - (own.metAt == 0 ? own.startedAt : own.metAt) < s.settle();
+    boolean settles = now - (own.metAt == 0 ? own.startedAt : own.metAt) < s.propagationTime();
     return settles && !own.known && !alone ? UNSETTLED * share : share;
   }
 }
--- a/src/main/java/umberrun/fleet/Membership.java
+++ b/src/main/java/umberrun/fleet/Membership.java
@@ -125,7 +125,7 @@
         now + (long) (random.nextDouble() * settings.interval()));
     out.startTimer(
         MembershipTimer.of(MembershipTimer.Kind.EXCHANGE),
-        now + spread(settings.exchange() / HASTE));
+        now + spread(settings.exchangeInterval() / HASTE));
     out.startTimer(MembershipTimer.of(MembershipTimer.Kind.RECONNECT), now);
   }
 
@@ -359,7 +359,7 @@
     }
     Peer p = peers.get(heard.name());
     if (p == null) {
-      if (heard.about() != null && heard.age() < settings.forget() && makeRoom(now)) {
+      if (heard.about() != null && heard.age() < settings.deadRetention() && makeRoom(now)) {
         welcome(now, heard);
       }
       return;
@@ -487,7 +487,7 @@
 
   /** Makes room for one more; false where all that are known live. */
   private boolean makeRoom(long now) {
-    if (peers.size() < settings.members()) {
+    if (peers.size() < settings.maxMembers()) {
       return true;
     }
     Peer longest = null;
@@ -534,7 +534,9 @@
 
   /** Another process has or had this name. */
   private void namesake(long now, Claim c) {
-    known |= metAt == 0 && (c.isLiving() || c.status() == Status.DEAD && c.age() < settings.sure());
+    known |=
+        metAt == 0
+            && (c.isLiving() || c.status() == Status.DEAD && c.age() < settings.deadConfirmation());
     if (yielded) {
       Peer holder = peers.get(name);
       if (c.compareTo(holder.claim) > 0
@@ -726,11 +728,11 @@
 
   private void exchange(long now) {
     for (Peer p : List.copyOf(peers.values())) {
-      if (!p.claim.isLiving() && now - p.since >= settings.forget()) {
+      if (!p.claim.isLiving() && now - p.since >= settings.deadRetention()) {
         forget(now, p);
       }
     }
-    if (now - startedAt >= settings.forget()) {
+    if (now - startedAt >= settings.deadRetention()) {
       informed();
     }
     if (!missing(now)) { // whole again: who came meanwhile is one of all
@@ -754,8 +756,9 @@
    * exchange costs.
    */
   private long untilExchange(long now) {
-    boolean stirs = now - changedAt < settings.exchange();
-    return (long) (settings.exchange() * Math.max(1, livingCount / FEW) / (stirs ? HASTE : 1));
+    boolean stirs = now - changedAt < settings.exchangeInterval();
+    return (long)
+        (settings.exchangeInterval() * Math.max(1, livingCount / FEW) / (stirs ? HASTE : 1));
   }
 
   private void reconnect(long now) {
@@ -767,10 +770,10 @@
     } else if (random.nextDouble() * livingCount < TRIES_EACH * lost.size()) {
       out.exchange(lost.get(random.nextInt(lost.size())));
     }
-    joinWait = alone ? Math.min(settings.reconnect(), 2 * joinWait) : FIRST_JOIN;
+    joinWait = alone ? Math.min(settings.reconnectInterval(), 2 * joinWait) : FIRST_JOIN;
     out.startTimer(
         MembershipTimer.of(MembershipTimer.Kind.RECONNECT),
-        now + spread(alone ? joinWait : settings.reconnect()));
+        now + spread(alone ? joinWait : settings.reconnectInterval()));
   }
 
   /** Addresses where somebody should be and nobody is. */
--- a/src/main/java/umberrun/fleet/MembershipOutbox.java
+++ b/src/main/java/umberrun/fleet/MembershipOutbox.java
@@ -5,7 +5,8 @@
   void send(String address, GossipMessage message);
 
   /**
-   * Asks for a full exchange; {@code Membership.exchanged} or {@code unreachable} is owed for it.
+   * Asks for a full exchange; {@code Membership.onExchange} or {@code onUnreachable} is owed for
+   * it.
    */
   void exchange(String address);
 
--- a/src/main/java/umberrun/fleet/MembershipSettings.java
+++ b/src/main/java/umberrun/fleet/MembershipSettings.java
@@ -9,12 +9,13 @@
  * @param interval between two probes of one member
  * @param timeout for the direct answer to a probe; a half of the interval at the most, as helpers
  *     need the rest
- * @param exchange between two full exchanges of one member
- * @param reconnect between two tries to find the dead again
- * @param sure for how long one must be dead before a refused connection proves that it is gone
- * @param forget for how long the dead are kept; no cut is taken to last longer
- * @param settle within what time news reaches every member
- * @param members the most that are known, dead ones included
+ * @param exchangeInterval between two full exchanges of one member
+ * @param reconnectInterval between two tries to find the dead again
+ * @param deadConfirmation for how long one must be dead before a refused connection proves that it
+ *     is gone
+ * @param deadRetention for how long the dead are kept; no cut is taken to last longer
+ * @param propagationTime within what time news reaches every member
+ * @param maxMembers the most that are known, dead ones included
  * @param frontEndCount front ends counted by one that has met nobody yet
  * @param usesLocalHealth whether a member that is itself late accuses more slowly; off only to
  *     measure what that is worth
@@ -24,12 +25,12 @@
     List<String> seeds,
     long interval,
     long timeout,
-    long exchange,
-    long reconnect,
-    long sure,
-    long forget,
-    long settle,
-    int members,
+    long exchangeInterval,
+    long reconnectInterval,
+    long deadConfirmation,
+    long deadRetention,
+    long propagationTime,
+    int maxMembers,
     int frontEndCount,
     boolean usesLocalHealth) {
   public static final long MS = 1_000;
--- a/src/main/java/umberrun/fleet/sim/FleetSimulation.java
+++ b/src/main/java/umberrun/fleet/sim/FleetSimulation.java
@@ -454,8 +454,8 @@
       throw new InvariantViolation(
           n.name + " counts " + n.process.livingCount() + " that live and holds " + living);
     }
-    if (n.process.peers().size() > settings.members()
-        || n.process.queuedGossip() > settings.members() + 1) {
+    if (n.process.peers().size() > settings.maxMembers()
+        || n.process.queuedGossip() > settings.maxMembers() + 1) {
       throw new InvariantViolation(n.name + " exceeds its bounds");
     }
   }
--- a/src/main/java/umberrun/front/CallFields.java
+++ b/src/main/java/umberrun/front/CallFields.java
@@ -7,7 +7,7 @@
 
 /** Reading of the fields that both fronts take, by the same rules. */
 public final class CallFields {
-  public static final int MOST_BODY = 16 << 10;
+  public static final int MAX_BODY_BYTES = 16 << 10;
   private static final int MOST_KEY = 255;
   private static final int HEX_DIGITS = 16;
   private static final double MOST_LANES = 1_000;
--- a/src/main/java/umberrun/front/invoke/InvokeServer.java
+++ b/src/main/java/umberrun/front/invoke/InvokeServer.java
@@ -230,13 +230,14 @@
     request.handler(
         piece -> {
           if (!refused[0]
-              && body.length() + piece.length() > CallFields.MOST_BODY) { // guards the memory
+              && body.length() + piece.length() > CallFields.MAX_BODY_BYTES) { // guards the memory
             refused[0] = true;
             counters.add(Count.BAD_REQUESTS);
             vertx.cancelTimer(whole);
             closeConnections(
                 request,
-                new Problem(413, "the body is longer than " + CallFields.MOST_BODY + " bytes"));
+                new Problem(
+                    413, "the body is longer than " + CallFields.MAX_BODY_BYTES + " bytes"));
           } else if (!refused[0]) {
             body.appendBuffer(piece);
           }
--- a/src/main/java/umberrun/front/rpc/RpcDecoder.java
+++ b/src/main/java/umberrun/front/rpc/RpcDecoder.java
@@ -72,7 +72,8 @@
     }
     rest = Buffer.buffer(Arrays.copyOfRange(all, at, all.length));
     if (rest.length()
-        > MOST_HEAD + CallFields.MOST_BODY) { // guards the memory against a head without an end
+        > MOST_HEAD
+            + CallFields.MAX_BODY_BYTES) { // guards the memory against a head without an end
       throw new Unreadable("message too long");
     }
   }
@@ -129,7 +130,8 @@
       if (length < 0) {
         throw new Unreadable("body too long");
       }
-      if (length > CallFields.MOST_BODY) { // answered at once, and passed over without being kept
+      if (length
+          > CallFields.MAX_BODY_BYTES) { // answered at once, and passed over without being kept
         if (parameters > 2 || length > Integer.MAX_VALUE - from) {
           throw new Unreadable("body too long");
         }
--- a/src/main/java/umberrun/front/rpc/RpcServer.java
+++ b/src/main/java/umberrun/front/rpc/RpcServer.java
@@ -270,7 +270,7 @@
       throw new InvalidField("parameters must be a map of strings to strings and a body");
     }
     if (r.body() == null) {
-      throw new InvalidField("the body is longer than " + CallFields.MOST_BODY + " bytes");
+      throw new InvalidField("the body is longer than " + CallFields.MAX_BODY_BYTES + " bytes");
     }
     int callClass = names.classes().indexOf(r.method());
     if (callClass < 0) {
--- a/src/main/java/umberrun/handover/Handover.java
+++ b/src/main/java/umberrun/handover/Handover.java
@@ -14,8 +14,8 @@
 import java.util.function.UnaryOperator;
 import umberrun.core.Clock;
 import umberrun.core.DispatchLoop;
-import umberrun.handover.HandoverStore.Other;
-import umberrun.handover.HandoverStore.State;
+import umberrun.handover.HandoverStore.OtherProcess;
+import umberrun.handover.HandoverStore.SuspensionState;
 import umberrun.learning.net.FactExchange;
 
 /**
@@ -119,7 +119,7 @@
     }
   }
 
-  private record News(State state, List<Other> others) {}
+  private record News(SuspensionState state, List<OtherProcess> others) {}
 
   /** Each poll sets the next one when it is over, so that they never overlap. */
   private void poll() {
@@ -249,7 +249,7 @@
             });
   }
 
-  private Future<Void> apply(State state) {
+  private Future<Void> apply(SuspensionState state) {
     return owner
         .setSuspended(state.out(), state.back())
         .compose(
@@ -303,13 +303,13 @@
   }
 
   private Future<Void> write(String worker, boolean out, long now) {
-    UnaryOperator<State> change = s -> changed(s, worker, out, now);
+    UnaryOperator<SuspensionState> change = s -> changed(s, worker, out, now);
     return vertx
         .executeBlocking(() -> ledger.update(change))
         .compose(s -> apply(s).compose(v -> agreed(s.seq(), now + AGREE_MILLIS * 1_000)));
   }
 
-  static State changed(State s, String worker, boolean out, long now) {
+  static SuspensionState changed(SuspensionState s, String worker, boolean out, long now) {
     Map<String, Long> nowOut = new LinkedHashMap<>(s.out());
     Map<String, Long> nowBack = new LinkedHashMap<>(s.back());
     if (out) {
@@ -322,7 +322,7 @@
             nowBack.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow().getKey());
       }
     }
-    return new State(s.seq(), nowOut, nowBack);
+    return new SuspensionState(s.seq(), nowOut, nowBack);
   }
 
   /**
@@ -350,7 +350,9 @@
   public Future<Boolean> leave() {
     ready = false;
     return present()
-        .compose(v -> vertx.executeBlocking(() -> ledger.others().stream().anyMatch(Other::ready)))
+        .compose(
+            v ->
+                vertx.executeBlocking(() -> ledger.others().stream().anyMatch(OtherProcess::ready)))
         .recover(e -> Future.succeededFuture(false));
   }
 
--- a/src/main/java/umberrun/handover/HandoverStore.java
+++ b/src/main/java/umberrun/handover/HandoverStore.java
@@ -31,21 +31,21 @@
    * What operators have said of workers: since when each is out, and when each came back, in Unix
    * microseconds.
    */
-  record State(long seq, Map<String, Long> out, Map<String, Long> back) {
-    static final State EMPTY = new State(0, Map.of(), Map.of());
+  record SuspensionState(long seq, Map<String, Long> out, Map<String, Long> back) {
+    static final SuspensionState EMPTY = new SuspensionState(0, Map.of(), Map.of());
   }
 
   /** Another process that lives: whether it takes clients, and the last change that binds it. */
-  record Other(boolean ready, long applied) {}
+  record OtherProcess(boolean ready, long applied) {}
 
   /** What another process left, {@code age} microseconds ago. */
-  record Left(String page, long age) {}
+  record HandedOverFacts(String page, long age) {}
 
   /**
    * What was left of the leases of workers at {@code at}, in microseconds of the machine's steady
    * clock.
    */
-  record Leases(Map<String, Long> left, long at) {}
+  record HandedOverLeases(Map<String, Long> left, long at) {}
 
   private static final String FACTS = "facts.json";
   private static final String LEASES = "leases.json";
@@ -98,11 +98,11 @@
   }
 
   /** The state; an empty one where there is no file or one that can't be used. */
-  State read() {
+  SuspensionState read() {
     lastSeen = stamp();
     Path file = folder.resolve(STATE);
     if (!Files.exists(file)) {
-      return State.EMPTY;
+      return SuspensionState.EMPTY;
     }
     try {
       if (Files.size(file) > MOST_BYTES) { // guards the memory against a foreign file
@@ -112,7 +112,8 @@
       if (o.get("v").getAsInt() != FORM) {
         throw new JsonParseException("of another form");
       }
-      return new State(o.get("seq").getAsLong(), times(o, "suspended"), times(o, "resumed"));
+      return new SuspensionState(
+          o.get("seq").getAsLong(), times(o, "suspended"), times(o, "resumed"));
     } catch (IOException
         | JsonParseException
         | IllegalStateException
@@ -120,7 +121,7 @@
         | NumberFormatException
         | NullPointerException e) { // guards the start against a torn or foreign file
       log.accept("handover: " + STATE + " can't be used and counts as empty: " + e.getMessage());
-      return State.EMPTY;
+      return SuspensionState.EMPTY;
     }
   }
 
@@ -133,7 +134,7 @@
   }
 
   /** Changes the state as no other process does meanwhile; the state as it is then. */
-  State update(UnaryOperator<State> change) throws IOException {
+  SuspensionState update(UnaryOperator<SuspensionState> change) throws IOException {
     try (FileChannel c =
         FileChannel.open(
             folder.resolve("state" + LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
@@ -144,9 +145,9 @@
         }
         pause();
       }
-      State before = read();
-      State after = change.apply(before);
-      State next = new State(before.seq + 1, after.out, after.back);
+      SuspensionState before = read();
+      SuspensionState after = change.apply(before);
+      SuspensionState next = new SuspensionState(before.seq + 1, after.out, after.back);
       JsonObject o = new JsonObject();
       o.addProperty("v", FORM);
       o.addProperty("seq", next.seq);
@@ -207,14 +208,14 @@
   }
 
   /** What another process left, and how long ago in microseconds; null where there is nothing. */
-  Left factsLeft() {
+  HandedOverFacts factsLeft() {
     Path file = folder.resolve(FACTS);
     try {
       if (!Files.exists(file) || Files.size(file) > MOST_BYTES) {
         return null;
       }
       long age = System.currentTimeMillis() - Files.getLastModifiedTime(file).toMillis();
-      return new Left(Files.readString(file), 1_000 * Math.max(0, age));
+      return new HandedOverFacts(Files.readString(file), 1_000 * Math.max(0, age));
     } catch (IOException e) {
       log.accept("handover: " + e);
       return null;
@@ -234,7 +235,7 @@
   }
 
   /** What another process left of its leases, or null where there is nothing that can be used. */
-  Leases leasesLeft() {
+  HandedOverLeases leasesLeft() {
     Path file = folder.resolve(LEASES);
     try {
       if (!Files.exists(file) || Files.size(file) > MOST_BYTES) {
@@ -242,7 +243,7 @@
       }
       JsonObject o = JsonParser.parseString(Files.readString(file)).getAsJsonObject();
       return o.get("v").getAsInt() == FORM
-          ? new Leases(times(o, "left"), o.get("at").getAsLong())
+          ? new HandedOverLeases(times(o, "left"), o.get("at").getAsLong())
           : null;
     } catch (IOException
         | JsonParseException
@@ -256,8 +257,8 @@
   }
 
   /** The other processes that live; what dead ones have left is removed. */
-  List<Other> others() {
-    List<Other> others = new ArrayList<>();
+  List<OtherProcess> others() {
+    List<OtherProcess> others = new ArrayList<>();
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PROCESS + "*" + LOCK)) {
       for (Path lock : files) {
         String name = lock.getFileName().toString().replace(LOCK, "");
@@ -271,7 +272,7 @@
     return others;
   }
 
-  private static void other(Path lock, Path said, List<Other> others) throws IOException {
+  private static void other(Path lock, Path said, List<OtherProcess> others) throws IOException {
     try (FileChannel c = FileChannel.open(lock, StandardOpenOption.WRITE)) {
       if (locked(c)) {
         Files.deleteIfExists(said);
@@ -281,9 +282,9 @@
     }
     try {
       JsonObject o = JsonParser.parseString(Files.readString(said)).getAsJsonObject();
-      others.add(new Other(o.get("ready").getAsBoolean(), o.get("applied").getAsLong()));
+      others.add(new OtherProcess(o.get("ready").getAsBoolean(), o.get("applied").getAsLong()));
     } catch (IOException | JsonParseException | IllegalStateException | NullPointerException e) {
-      others.add(new Other(false, 0)); // it has only begun
+      others.add(new OtherProcess(false, 0)); // it has only begun
     }
   }
 
--- a/src/main/java/umberrun/works/Ledger.java
+++ b/src/main/java/umberrun/works/Ledger.java
@@ -150,7 +150,7 @@
   private static final Gson GSON = new Gson();
 
   /** What a register holds; fails with {@link IllegalArgumentException} where that is no ledger. */
-  public static Ledger read(String text) {
+  public static Ledger parse(String text) {
     if (text.isEmpty()) {
       return EMPTY;
     }
@@ -444,7 +444,7 @@
     return driven(by, id, State.RUNNING, State.HELD, reason);
   }
 
-  public Ledger goOn(long by, String id) {
+  public Ledger release(long by, String id) {
     return driven(by, id, State.HELD, State.RUNNING, "");
   }
 
--- a/src/main/java/umberrun/works/PlanExecutor.java
+++ b/src/main/java/umberrun/works/PlanExecutor.java
@@ -234,7 +234,7 @@
     }
     long calm = now - troubledAt.computeIfAbsent(p.id(), k -> now);
     if (p.state() == State.HELD && !p.byHand() && calm >= settings.recoveryTime) {
-      return wanted("plan " + p.id() + " goes on", l, x -> x.goOn(currentFence(x), p.id()));
+      return wanted("plan " + p.id() + " goes on", l, x -> x.release(currentFence(x), p.id()));
     }
     boolean through =
         l.machines().stream().allMatch(m -> !m.plan().equals(p.id()) || m.stage().isOver());
--- a/src/main/java/umberrun/works/net/WorksManager.java
+++ b/src/main/java/umberrun/works/net/WorksManager.java
@@ -262,7 +262,7 @@
               if (!text.isEmpty()) {
                 JsonObject o = JsonParser.parseString(text).getAsJsonObject();
                 crew.update(
-                    o.get("version").getAsLong(), Ledger.read(o.get("ledger").getAsString()));
+                    o.get("version").getAsLong(), Ledger.parse(o.get("ledger").getAsString()));
               }
               return apply();
             })
@@ -315,7 +315,7 @@
   private void learn(RegisterValue v) {
     if (v != null) {
       try {
-        learn(v.version(), Ledger.read(v.text()));
+        learn(v.version(), Ledger.parse(v.text()));
       } catch (IllegalArgumentException e) {
         log.accept("works: " + e.getMessage());
       }
@@ -565,7 +565,7 @@
         v -> {
           why[0] = null;
           try {
-            Ledger before = Ledger.read(v.text());
+            Ledger before = Ledger.parse(v.text());
             Ledger after = step.apply(before);
             RegisterValue next = v.withText(after.text());
             if (!next.isShort()) {
@@ -624,7 +624,7 @@
         return;
       }
       switch (w.kind()) {
-        case LEDGER -> learn(w.version(), Ledger.read(w.ledger()));
+        case LEDGER -> learn(w.version(), Ledger.parse(w.ledger()));
         case REPORT -> {
           if (driver != null && w.report() != null && w.report().member().name().equals(from)) {
             reports.put(from, w.report());
--- a/src/test/java/umberrun/Emulated.java
+++ b/src/test/java/umberrun/EmulatedWorker.java
@@ -17,7 +17,7 @@
  * time to load and push each other out, and a start with none. Figures are of no machine in
  * particular.
  */
-final class Emulated {
+final class EmulatedWorker {
   static final long LOAD_MILLIS = 250;
   private static final double RUN_MILLIS = 16;
   private static final int LANES = 2;
@@ -47,7 +47,7 @@
   private int loads;
   private int runs;
 
-  Emulated(Scenario.Worker worker, long seed) {
+  EmulatedWorker(Scenario.Worker worker, long seed) {
     random = new Random(seed);
     worker.serves = this::take;
   }
--- a/src/test/java/umberrun/LearningFigures.java
+++ b/src/test/java/umberrun/LearningFigures.java
@@ -56,9 +56,9 @@
                         : Map.of(
                             "learning",
                             new TreeMap<>(Map.of("listen", "127.0.0.1:" + ports[i])))))) {
-      List<Emulated> workers = new ArrayList<>();
+      List<EmulatedWorker> workers = new ArrayList<>();
       for (int i = 0; i < WORKERS; i++) {
-        workers.add(new Emulated(p.workers.get(i), seed * 100 + i));
+        workers.add(new EmulatedWorker(p.workers.get(i), seed * 100 + i));
       }
       workers.get(BAD).fail(0.6);
       p.pauseMillis = 10;
@@ -84,7 +84,7 @@
       ConcurrentLinkedQueue<Answer> answers = new ConcurrentLinkedQueue<>();
       ConcurrentHistogram others = new ConcurrentHistogram(3);
       long[] ready = new long[FRONTS];
-      int loads = workers.stream().mapToInt(Emulated::loads).sum();
+      int loads = workers.stream().mapToInt(EmulatedWorker::loads).sum();
       p.seen =
           (n, micros, error) -> {
             if (ready[n.number] > 0) {
@@ -112,9 +112,9 @@
           usual,
           back(answers, usual),
           first.size(),
-          share(first, a -> a.micros > 1_000 * Emulated.LOAD_MILLIS),
+          share(first, a -> a.micros > 1_000 * EmulatedWorker.LOAD_MILLIS),
           share(first, a -> !a.served),
-          workers.stream().mapToInt(Emulated::loads).sum() - loads,
+          workers.stream().mapToInt(EmulatedWorker::loads).sum() - loads,
           others.getValueAtPercentile(99),
           before.getValueAtPercentile(99),
           pages(p),
@@ -124,7 +124,7 @@
   }
 
   private static boolean isGood(long micros, String error) {
-    return error == null && micros < 1_000 * Emulated.LOAD_MILLIS;
+    return error == null && micros < 1_000 * EmulatedWorker.LOAD_MILLIS;
   }
 
   private static double share(List<Answer> all, java.util.function.Predicate<Answer> what) {
@@ -139,7 +139,7 @@
     for (Answer a : answers) {
       int slot = (int) Math.min(slots - 1, a.afterMillis / 500);
       all[slot]++;
-      good[slot] += a.served && a.micros < 1_000 * Emulated.LOAD_MILLIS ? 1 : 0;
+      good[slot] += a.served && a.micros < 1_000 * EmulatedWorker.LOAD_MILLIS ? 1 : 0;
     }
     for (int s = 0; s < slots; s++) {
       if (all[s] > 0 && (double) good[s] / all[s] >= usual - 0.02) {
--- a/src/test/java/umberrun/WorksService.java
+++ b/src/test/java/umberrun/WorksService.java
@@ -46,7 +46,7 @@
   private static final long AIM_MICROS = 800_000;
 
   private final Processes fleet;
-  private final List<Emulated> workers = new ArrayList<>();
+  private final List<EmulatedWorker> workers = new ArrayList<>();
   private final int[] invoke = new int[FRONTS];
   private final ExecutorService people = Executors.newCachedThreadPool();
   private final HttpClient http = HttpClient.newHttpClient();
@@ -84,7 +84,7 @@
                         new TreeMap<>(Map.of("quiet_ms", 1_000, "move_ms", 1_500)))),
             (int) COLD_MILLIS);
     for (int i = 0; i < WORKERS; i++) {
-      workers.add(new Emulated(fleet.workers.get(i), seed * 100 + i));
+      workers.add(new EmulatedWorker(fleet.workers.get(i), seed * 100 + i));
     }
     fleet.pauseMillis = 10;
     fleet.functions = 60;
@@ -182,8 +182,8 @@
     took.reset();
     ends.clear();
     seen = true;
-    int runs = workers.stream().mapToInt(Emulated::runs).sum();
-    int loads = workers.stream().mapToInt(Emulated::loads).sum();
+    int runs = workers.stream().mapToInt(EmulatedWorker::runs).sum();
+    int loads = workers.stream().mapToInt(EmulatedWorker::loads).sum();
     long began = System.nanoTime();
     switch (how) {
       case "plan" -> byPlan();
@@ -206,8 +206,8 @@
         took.getValueAtPercentile(50) / 1e3,
         took.getMean() / 1e3,
         took.getValueAtPercentile(99) / 1e3,
-        workers.stream().mapToInt(Emulated::loads).sum() - loads,
-        workers.stream().mapToInt(Emulated::runs).sum() - runs,
+        workers.stream().mapToInt(EmulatedWorker::loads).sum() - loads,
+        workers.stream().mapToInt(EmulatedWorker::runs).sum() - runs,
         sentToFree.get(),
         fleet.faults);
   }
--- a/src/test/java/umberrun/handover/HandoverStoreTest.java
+++ b/src/test/java/umberrun/handover/HandoverStoreTest.java
@@ -19,8 +19,8 @@
 import org.junit.Rule;
 import org.junit.Test;
 import org.junit.rules.TemporaryFolder;
-import umberrun.handover.HandoverStore.Other;
-import umberrun.handover.HandoverStore.State;
+import umberrun.handover.HandoverStore.OtherProcess;
+import umberrun.handover.HandoverStore.SuspensionState;
 
 /**
  * What the files that processes of one front end share keep through crashes, torn writes and
@@ -94,13 +94,13 @@
   public void whatOneWritesTheOtherReads() throws Exception {
     HandoverStore a = ledger("a");
     HandoverStore b = ledger("b");
-    assertEquals(State.EMPTY, b.read());
+    assertEquals(SuspensionState.EMPTY, b.read());
     assertFalse(b.isChanged());
     a.update(s -> Handover.changed(s, "s-1", true, 50));
     assertTrue(b.isChanged());
-    assertEquals(new State(1, Map.of("s-1", 50L), Map.of()), b.read());
+    assertEquals(new SuspensionState(1, Map.of("s-1", 50L), Map.of()), b.read());
     b.update(s -> Handover.changed(Handover.changed(s, "s-2", true, 60), "s-1", false, 70));
-    assertEquals(new State(2, Map.of("s-2", 60L), Map.of("s-1", 70L)), a.read());
+    assertEquals(new SuspensionState(2, Map.of("s-2", 60L), Map.of("s-1", 70L)), a.read());
     assertTrue(said.isEmpty());
   }
 
@@ -149,7 +149,7 @@
             " ".repeat(2 << 20))) {
       Files.writeString(shared.resolve("state.json"), text);
       said.clear();
-      assertEquals(text, State.EMPTY, l.read());
+      assertEquals(text, SuspensionState.EMPTY, l.read());
       assertEquals(text, 1, said.size());
     }
   }
@@ -159,9 +159,9 @@
   public void onlyProcessesThatLiveCount() throws Exception {
     HandoverStore a = ledger("a");
     HandoverStore b = ledger("b");
-    assertEquals(List.of(new Other(false, 0)), a.others());
+    assertEquals(List.of(new OtherProcess(false, 0)), a.others());
     b.present(true, 3);
-    assertEquals(List.of(new Other(true, 3)), a.others());
+    assertEquals(List.of(new OtherProcess(true, 3)), a.others());
     b.close();
     Files.writeString(shared.resolve("process-killed.lock"), "");
     Files.writeString(shared.resolve("process-killed.json"), "{\"ready\":true,\"applied\":3}");
--- a/src/test/java/umberrun/works/WorksRulesTest.java
+++ b/src/test/java/umberrun/works/WorksRulesTest.java
@@ -67,7 +67,7 @@
   @Test
   public void stepsAreLegalOrRefused() {
     Ledger l = begun();
-    assertEquals(l, Ledger.read(l.text()));
+    assertEquals(l, Ledger.parse(l.text()));
     for (String spoilt :
         List.of(
             "{}",
@@ -75,7 +75,7 @@
             "[",
             l.text().replace("\"stage\"", "\"rage\""),
             l.text().replace("\"roll\"", "\"role\""))) {
-      assertThrows(spoilt, IllegalArgumentException.class, () -> Ledger.read(spoilt));
+      assertThrows(spoilt, IllegalArgumentException.class, () -> Ledger.parse(spoilt));
     }
     for (Runnable bad :
         List.<Runnable>of(
