--- a/src/main/java/umberrun/worker/PendingCommand.java
+++ b/src/main/java/umberrun/worker/PendingCommand.java
@@ -4,52 +4,62 @@
 import java.util.List;
 import saddlestall.Dispatcher.OutcomeCode;
 
-/** A command to a worker and the wait for its answer. Ends once: answered, lost, or its time up. */
+/**
+ * A command for a worker that is queued or awaits its reply. It completes exactly once, through
+ * {@link #onReply} or {@link #onFailure}, unless it is one-way and has been written.
+ */
 abstract class PendingCommand {
-  /** The id under which the answer comes. */
+  /** Identifies the command on its connection; the reply carries the same id. */
   final Buffer id;
 
+  /** When the command times out, in microseconds on the clock of the dispatch loop. */
   final long deadline;
+
+  /** Whether the command was handed to the socket. */
   boolean written;
+
+  /** When the command was written, in microseconds; valid only if {@link #written}. */
   long writtenAt;
-  long timer = -1;
+
+  /** Id of the Vert.x timer that ends the command at its deadline, or -1 if none is running. */
+  long timeoutTimer = -1;
 
   PendingCommand(Buffer id, long deadline) {
     this.id = id;
     this.deadline = deadline;
   }
 
-  /** The command as it goes out now. */
+  /** Encodes the command as it is sent at {@code now}, in microseconds. */
   abstract Buffer command(long now);
 
-  /** Whether the drain rule holds for it. */
+  /** Whether the command starts work and so must not be written to a draining worker. */
   boolean isNewWork() {
     return false;
   }
 
-  /** Whether anybody still wants it to be written. */
+  /** Whether the command is still worth writing; false once its caller has left. */
   boolean isWanted(long now) {
     return true;
   }
 
-  /** Whether it is over as soon as it is written, since no answer comes. */
+  /** Whether the worker sends no reply, so that the command is complete once written. */
   boolean isOneWay() {
     return false;
   }
 
-  /** Whether nothing more is sent under this id after such an answer. */
-  boolean isSettledBy(List<Buffer> parts) {
+  /** Whether no retry of the command will reuse this id after such a reply. */
+  boolean isFinalReply(List<Buffer> parts) {
     return true;
   }
 
-  /** What tells the worker that nobody waits any more, or null. */
-  Buffer withdrawal() {
+  /** Returns the command that cancels this one at the worker, or null if there is none. */
+  Buffer cancelCommand() {
     return null;
   }
 
-  /** The answer: a word, fields and a body, behind the id. */
-  abstract void answered(List<Buffer> parts);
+  /** Handles the reply: the id, followed by a status, fields and a body. */
+  abstract void onReply(List<Buffer> parts);
 
-  /** No answer will come. */
-  abstract void lost(OutcomeCode code);
+  /** Handles the end of the command without a reply. */
+  abstract void onFailure(OutcomeCode code);
 }
--- a/src/main/java/umberrun/worker/ReplyFields.java
+++ b/src/main/java/umberrun/worker/ReplyFields.java
@@ -8,7 +8,9 @@
 import saddlestall.Dispatcher.OutcomeCode;
 import saddlestall.Dispatcher.ReportField;
 
-/** The fields of an answer: {@code name=value,name=value}, or {@code -} where there are none. */
+/**
+ * The fields of a worker's reply: {@code name=value,name=value}, or {@code -} if there are none.
+ */
 final class ReplyFields {
   private final Map<String, String> values = new HashMap<>();
 
@@ -21,7 +23,8 @@
     }
   }
 
-  CopyStatus note() {
+  /** Whether the call met a loaded copy of its function or caused or joined a load. */
+  CopyStatus copyStatus() {
     return switch (values.getOrDefault("n", "")) {
       case "w" -> CopyStatus.WARM;
       case "c" -> CopyStatus.BEGAN_LOAD;
@@ -31,7 +34,7 @@
     };
   }
 
-  /** A count; nought where it is absent or no number. */
+  /** Returns an integer field, or 0 if it is absent or not an integer. */
   int count(String name) {
     try {
       return Integer.parseInt(values.getOrDefault(name, "0"));
@@ -41,9 +44,10 @@
   }
 
   /**
-   * The load report in the order that the settings give its fields, or null where there is none.
+   * Returns the values of the load report in the order of {@code fields}, or null if the reply has
+   * no report. A field that is missing or not a number is 0.
    */
-  float[] report(List<ReportField> fields) {
+  float[] loadReport(List<ReportField> fields) {
     String text = values.get("l");
     if (text == null) {
       return null;
@@ -51,20 +55,20 @@
     float[] report = new float[fields.size()];
     for (String pair : text.split(";")) {
       int colon = pair.indexOf(':');
-      int at = colon < 0 ? -1 : fields.indexOf(field(pair.substring(0, colon)));
-      if (at >= 0) {
+      int index = colon < 0 ? -1 : fields.indexOf(reportField(pair.substring(0, colon)));
+      if (index >= 0) {
         try {
-          report[at] = Float.parseFloat(pair.substring(colon + 1));
+          report[index] = Float.parseFloat(pair.substring(colon + 1));
         } catch (NumberFormatException e) {
-          report[at] = 0;
+          report[index] = 0;
         }
       }
     }
     return report;
   }
 
-  private static ReportField field(String word) {
-    return switch (word) {
+  private static ReportField reportField(String name) {
+    return switch (name) {
       case "inflight", "outstanding" -> ReportField.OUTSTANDING;
       case "queue", "backlog" -> ReportField.QUEUE;
       case "util", "utilization" -> ReportField.UTILIZATION;
@@ -77,9 +81,12 @@
     };
   }
 
-  /** What an answer's word says. An unknown one proves nothing, as an error does. */
-  static OutcomeCode code(Buffer word) {
-    return switch (word.toString()) {
+  /**
+   * Maps the status of a reply to an outcome. An unknown status counts as an error, which leaves
+   * open whether the call ran.
+   */
+  static OutcomeCode outcomeCode(Buffer status) {
+    return switch (status.toString()) {
       case "200" -> OutcomeCode.OK;
       case "404" -> OutcomeCode.MISS;
       case "503" -> OutcomeCode.FULL;
--- a/src/main/java/umberrun/worker/RespParser.java
+++ b/src/main/java/umberrun/worker/RespParser.java
@@ -8,118 +8,133 @@
 import java.util.List;
 
 /**
- * Cuts a stream into RESP arrays of bulk strings; ours, since no client library lets ids answer out
- * of order.
+ * Splits a byte stream into RESP arrays of bulk strings. The existing RESP client libraries cannot
+ * be used, as they expect replies in the order of the commands, and workers reply in any order.
  */
 final class RespParser implements Handler<Buffer> {
-  private static final int MOST_PARTS = 16;
-  private static final int MOST_BYTES = 1 << 20;
-  private static final int MOST_LINE = 32;
+  private static final int MAX_PARTS = 16;
+  private static final int MAX_BULK_BYTES = 1 << 20;
+  private static final int MAX_HEADER_LINE_BYTES = 32;
 
-  private final Handler<List<Buffer>> arrays;
+  /** The CR LF behind each header line and each bulk string. */
+  private static final int TERMINATOR_BYTES = 2;
+
+  private final Handler<List<Buffer>> arrayHandler;
   private final RecordParser records = RecordParser.newDelimited("\r\n");
-  private final Runnable garbage;
+  private final Runnable malformedHandler;
+
+  /** The parts read so far of the current array, or null between two arrays. */
   private List<Buffer> parts;
-  private int wanted;
-  private int bulk = -1;
-  private boolean broken;
-  private long read;
 
-  /** Bytes that came and belong to no record yet. */
-  private long unread;
+  /** The number of parts in the current array. */
+  private int expectedParts;
+
+  /** The length of the bulk string to be read next, or -1 if a header line is next. */
+  private int bulkBytes = -1;
+
+  private boolean failed;
+  private long arraysRead;
+
+  /** Bytes received that do not yet form a whole record. */
+  private long bufferedBytes;
 
   /**
-   * @param garbage is run once when the stream can't be read, and nothing more is passed on
+   * @param arrayHandler receives each whole array
+   * @param malformedHandler runs once when the stream cannot be parsed; no arrays follow
    */
-  RespParser(Handler<List<Buffer>> arrays, Runnable garbage) {
-    this.arrays = arrays;
-    this.garbage = garbage;
-    records.maxRecordSize(MOST_LINE);
-    records.handler(this::record);
+  RespParser(Handler<List<Buffer>> arrayHandler, Runnable malformedHandler) {
+    this.arrayHandler = arrayHandler;
+    this.malformedHandler = malformedHandler;
+    records.maxRecordSize(MAX_HEADER_LINE_BYTES);
+    records.handler(this::onRecord);
     records.exceptionHandler(e -> fail());
   }
 
-  /** One command, ready to be written. */
+  /** Encodes an array of bulk strings. */
   static Buffer command(Buffer... parts) {
-    Buffer b = Buffer.buffer(64).appendString("*" + parts.length + "\r\n");
+    Buffer encoded = Buffer.buffer(64).appendString("*" + parts.length + "\r\n");
     for (Buffer part : parts) {
-      b.appendString("$" + part.length() + "\r\n").appendBuffer(part).appendString("\r\n");
+      encoded.appendString("$" + part.length() + "\r\n").appendBuffer(part).appendString("\r\n");
     }
-    return b;
+    return encoded;
   }
 
-  /** Whether an array has begun whose end has not come. */
-  boolean isMidway() {
-    return parts != null || unread > 0;
+  /** Whether the stream has stopped, for now, in the middle of an array. */
+  boolean hasPartialArray() {
+    return parts != null || bufferedBytes > 0;
   }
 
-  /** How many whole arrays were passed on. */
-  long read() {
-    return read;
+  /** Returns how many whole arrays have been parsed. */
+  long arraysRead() {
+    return arraysRead;
   }
 
   @Override
   public void handle(Buffer chunk) {
-    if (!broken) {
-      unread += chunk.length();
+    if (!failed) {
+      bufferedBytes += chunk.length();
       records.handle(chunk);
     }
   }
 
-  private void record(Buffer record) {
-    if (broken) {
+  private void onRecord(Buffer record) {
+    if (failed) {
       return;
     }
-    unread -= record.length() + (bulk >= 0 ? 0 : 2);
-    if (bulk >= 0) {
-      if (record.getByte(bulk) != '\r' || record.getByte(bulk + 1) != '\n') {
+    bufferedBytes -= record.length() + (bulkBytes >= 0 ? 0 : TERMINATOR_BYTES);
+    if (bulkBytes >= 0) {
+      if (record.getByte(bulkBytes) != '\r' || record.getByte(bulkBytes + 1) != '\n') {
         fail();
         return;
       }
-      parts.add(record.getBuffer(0, bulk));
-      bulk = -1;
+      parts.add(record.getBuffer(0, bulkBytes));
+      bulkBytes = -1;
       records.delimitedMode("\r\n");
-      records.maxRecordSize(MOST_LINE);
-      if (parts.size() == wanted) {
+      records.maxRecordSize(MAX_HEADER_LINE_BYTES);
+      if (parts.size() == expectedParts) {
         List<Buffer> whole = parts;
         parts = null;
-        read++;
-        arrays.handle(whole);
+        arraysRead++;
+        arrayHandler.handle(whole);
       }
     } else if (parts == null) {
-      wanted = number(record, '*', MOST_PARTS);
-      parts = wanted > 0 ? new ArrayList<>(wanted) : null;
-      if (wanted <= 0) {
+      expectedParts = headerNumber(record, '*', MAX_PARTS);
+      parts = expectedParts > 0 ? new ArrayList<>(expectedParts) : null;
+      if (expectedParts <= 0) {
         fail();
       }
     } else {
-      bulk = number(record, '$', MOST_BYTES);
-      if (bulk < 0) {
+      bulkBytes = headerNumber(record, '$', MAX_BULK_BYTES);
+      if (bulkBytes < 0) {
         fail();
       } else {
-        records.fixedSizeMode(bulk + 2);
-        records.maxRecordSize(bulk + 2);
+        records.fixedSizeMode(bulkBytes + TERMINATOR_BYTES);
+        records.maxRecordSize(bulkBytes + TERMINATOR_BYTES);
       }
     }
   }
 
-  /** The number of a header line, or -1 where it is none, too large or of another kind. */
-  private static int number(Buffer line, char kind, int most) {
-    if (line.length() < 2 || line.length() > MOST_LINE || line.getByte(0) != kind) {
+  /**
+   * Returns the number in a header line, or -1 if the line does not start with {@code type}, has no
+   * number or one above {@code max}.
+   */
+  private static int headerNumber(Buffer line, char type, int max) {
+    if (line.length() < 2 || line.length() > MAX_HEADER_LINE_BYTES || line.getByte(0) != type) {
       return -1;
     }
     try {
-      int n = Integer.parseInt(line.getString(1, line.length(), StandardCharsets.US_ASCII.name()));
-      return n <= most ? n : -1;
+      int number =
+          Integer.parseInt(line.getString(1, line.length(), StandardCharsets.US_ASCII.name()));
+      return number <= max ? number : -1;
     } catch (NumberFormatException e) {
       return -1;
     }
   }
 
   private void fail() {
-    if (!broken) {
-      broken = true;
-      garbage.run();
+    if (!failed) {
+      failed = true;
+      malformedHandler.run();
     }
   }
 }
--- a/src/main/java/umberrun/worker/WorkerConnection.java
+++ b/src/main/java/umberrun/worker/WorkerConnection.java
@@ -16,353 +16,389 @@
 import saddlestall.Dispatcher.OutcomeCode;
 import umberrun.core.Clock;
 
-/** One connection to a worker: what is out on it, and what waits to be written. */
+/**
+ * One connection to a worker, with the commands that await a reply on it and those that are queued
+ * until they can be written.
+ */
 final class WorkerConnection {
-  /** Who a link belongs to. */
+  /** The owner of a connection. */
   interface Listener {
     /**
-     * Whether new work may still be written: false soon after the worker was told to drain or be
-     * gone.
+     * Whether new work may still be written at {@code now}, in microseconds. False soon after the
+     * worker was told to drain, or once it has left the list.
      */
     boolean mayStart(long now);
 
-    /** New work was given back unwritten, since it may no longer start. */
-    void withheld();
+    /** New work was failed without being written, as {@link #mayStart} returned false. */
+    void onSendWithheld();
 
-    void closed(WorkerConnection link);
+    /** The connection has closed and all its commands have ended. */
+    void onClosed(WorkerConnection connection);
   }
 
-  private static final int QUEUE_BYTES = 64 << 10;
-  private static final int MOST_STALE = 256;
+  private static final int MAX_WRITE_QUEUE_BYTES = 64 << 10;
+  private static final int MAX_STALE_IDS = 256;
 
-  /** A worker writes an answer in one piece: one that is not whole by then never will be. */
-  private static final long STUCK_MILLIS = 250;
+  /**
+   * A worker writes each reply in one piece, so a reply that is still incomplete after this time
+   * will not be completed.
+   */
+  private static final long PARTIAL_REPLY_TIMEOUT_MILLIS = 250;
+
+  /** The number of commands awaiting a reply from which on the silence of a worker is checked. */
+  private static final int SILENCE_CHECK_MIN_COMMANDS = 3;
 
   /**
-   * One that owes so many answers and says nothing for so long is asked whether it is there, and
-   * has as long again.
+   * A worker that sends nothing for this long is pinged, and has the same time again before its
+   * connection is closed.
    */
-  private static final int OWES_MANY = 3;
+  private static final long SILENCE_TIMEOUT_MILLIS = 300;
 
-  private static final long SILENT_MILLIS = 300;
-  private static final Buffer ASK =
+  private static final Buffer PING =
       RespParser.command(Buffer.buffer("NOOP"), Buffer.buffer("here"));
 
   private final Vertx vertx;
   private final Clock clock;
-  private final Listener home;
+  private final Listener listener;
   private final long idleMillis;
-  private final Map<Buffer, PendingCommand> out = new HashMap<>();
-  private final ArrayDeque<PendingCommand> waiting = new ArrayDeque<>();
+  private final Map<Buffer, PendingCommand> awaitingReply = new HashMap<>();
+  private final ArrayDeque<PendingCommand> queued = new ArrayDeque<>();
 
   /**
-   * Ids of calls that may be tried again while an answer, or a second copy of it, may still come:
-   * not here.
+   * Ids for which a late or second reply may still arrive. A retry with one of these ids has to use
+   * another connection, since it could not be told which of the two attempts a reply belongs to.
    */
-  private final Set<Buffer> stale = new HashSet<>();
+  private final Set<Buffer> staleIds = new HashSet<>();
 
   private NetSocket socket;
-  private long heardAt;
+  private long lastReplyAt;
   private RespParser parser;
   private long idleTimer = -1;
-  private long stuckTimer = -1;
-  private long silentTimer = -1;
+  private long partialReplyTimer = -1;
+  private long silenceTimer = -1;
   private boolean retired;
   private boolean closed;
 
   /**
-   * @param idleMillis after which it is closed while nothing is out on it; 0 for never
+   * @param idleMillis how long the connection stays open without commands, in milliseconds; 0 for
+   *     no limit
    */
-  WorkerConnection(Vertx vertx, Clock clock, Listener home, long idleMillis) {
+  WorkerConnection(Vertx vertx, Clock clock, Listener listener, long idleMillis) {
     this.vertx = vertx;
     this.clock = clock;
-    this.home = home;
+    this.listener = listener;
     this.idleMillis = idleMillis;
   }
 
-  /** Takes the connection once it is up. */
-  void opened(NetSocket s) {
+  /** Starts to use the socket once it is connected, and writes the queued commands. */
+  void onConnected(NetSocket connected) {
     if (closed) {
-      s.close();
+      connected.close();
       return;
     }
-    socket = s;
-    heardAt = clock.now();
-    s.setWriteQueueMaxSize(QUEUE_BYTES);
-    parser = new RespParser(this::answer, this::close);
-    s.handler(this::read);
-    s.closeHandler(v -> close());
-    s.exceptionHandler(e -> close());
-    s.drainHandler(v -> flush());
+    socket = connected;
+    lastReplyAt = clock.now();
+    connected.setWriteQueueMaxSize(MAX_WRITE_QUEUE_BYTES);
+    parser = new RespParser(this::onReply, this::close);
+    connected.handler(this::onData);
+    connected.closeHandler(v -> close());
+    connected.exceptionHandler(e -> close());
+    connected.drainHandler(v -> flush());
     flush();
-    watchIdle();
+    restartIdleTimer();
   }
 
   /**
-   * Guards all that is out here against an answer that stops midway, or whose length takes in the
-   * next ones.
+   * Parses received bytes. Closes the connection if a reply stays incomplete for too long: a reply
+   * that stops midway, or whose length is too large and covers the next replies, would otherwise
+   * block all commands on the connection.
    */
-  private void read(Buffer chunk) {
-    long before = parser.read();
+  private void onData(Buffer chunk) {
+    long arraysBefore = parser.arraysRead();
     parser.handle(chunk);
-    if (parser.read() > before) {
-      cancelStuck();
+    if (parser.arraysRead() > arraysBefore) {
+      cancelPartialReplyTimer();
     }
-    cancelSilent();
-    watchSilence(false);
-    if (parser.isMidway() && stuckTimer < 0 && !closed) {
-      stuckTimer =
+    cancelSilenceTimer();
+    startSilenceTimer(false);
+    if (parser.hasPartialArray() && partialReplyTimer < 0 && !closed) {
+      partialReplyTimer =
           vertx.setTimer(
-              STUCK_MILLIS,
+              PARTIAL_REPLY_TIMEOUT_MILLIS,
               t -> {
-                stuckTimer = -1;
+                partialReplyTimer = -1;
                 close();
               });
     }
   }
 
-  private void cancelStuck() {
-    if (stuckTimer >= 0) {
-      vertx.cancelTimer(stuckTimer);
-      stuckTimer = -1;
+  private void cancelPartialReplyTimer() {
+    if (partialReplyTimer >= 0) {
+      vertx.cancelTimer(partialReplyTimer);
+      partialReplyTimer = -1;
     }
   }
 
   /**
-   * Guards what is out here, and what would follow, against a connection that stays open and is of
-   * no further use: the worker may be well, and without an answer all would wait until their time
-   * is up.
+   * Detects a connection that stays open but no longer carries data, while the worker itself may be
+   * healthy. Without this check, all commands on the connection would wait for their deadlines.
+   *
+   * @param pinged whether the worker has been pinged since its last data; if so, the connection is
+   *     closed when the timer fires
    */
-  private void watchSilence(boolean asked) {
-    if (silentTimer < 0 && !closed && out.size() >= OWES_MANY) {
-      silentTimer =
+  private void startSilenceTimer(boolean pinged) {
+    if (silenceTimer < 0 && !closed && awaitingReply.size() >= SILENCE_CHECK_MIN_COMMANDS) {
+      silenceTimer =
           vertx.setTimer(
-              SILENT_MILLIS,
+              SILENCE_TIMEOUT_MILLIS,
               t -> {
-                silentTimer = -1;
-                if (asked) {
+                silenceTimer = -1;
+                if (pinged) {
                   close();
-                } else if (out.size() >= OWES_MANY) {
-                  socket.write(ASK);
-                  watchSilence(true);
+                } else if (awaitingReply.size() >= SILENCE_CHECK_MIN_COMMANDS) {
+                  socket.write(PING);
+                  startSilenceTimer(true);
                 }
               });
     }
   }
 
-  private void cancelSilent() {
-    if (silentTimer >= 0) {
-      vertx.cancelTimer(silentTimer);
-      silentTimer = -1;
+  private void cancelSilenceTimer() {
+    if (silenceTimer >= 0) {
+      vertx.cancelTimer(silenceTimer);
+      silenceTimer = -1;
     }
   }
 
-  /** The connection never came up: nothing that waits for it has run. */
-  void refused() {
-    end(OutcomeCode.CONNECT_FAILED);
+  /** Ends the queued commands after the connection could not be opened; none of them has run. */
+  void onConnectFailed() {
+    closeWith(OutcomeCode.CONNECT_FAILED);
   }
 
+  /** Returns the number of commands that are queued or await a reply. */
   int load() {
-    return out.size() + waiting.size();
+    return awaitingReply.size() + queued.size();
   }
 
-  /** Whether it is up and nothing is out on it. */
+  /** Whether the connection is open and has no commands. */
   boolean isIdle() {
     return socket != null && !closed && load() == 0;
   }
 
-  /** When the worker was last heard here, or the link came up. */
-  long heardAt() {
-    return heardAt;
+  /** Returns when the last reply arrived or, before the first one, the connection opened. */
+  long lastReplyAt() {
+    return lastReplyAt;
   }
 
-  boolean accepts(PendingCommand x, int most) {
+  /** Whether the command can be submitted here, with at most {@code maxCommands} at a time. */
+  boolean accepts(PendingCommand command, int maxCommands) {
     return !closed
         && !retired
-        && load() < most
-        && !out.containsKey(x.id)
-        && !stale.contains(x.id)
-        && waiting.stream().noneMatch(w -> w.id.equals(x.id));
+        && load() < maxCommands
+        && !awaitingReply.containsKey(command.id)
+        && !staleIds.contains(command.id)
+        && queued.stream().noneMatch(other -> other.id.equals(command.id));
   }
 
-  void submit(PendingCommand x) {
+  /** Queues a command and writes it as soon as the socket takes it. */
+  void submit(PendingCommand command) {
     long now = clock.now();
-    cancelIdle();
-    x.timer = vertx.setTimer(Math.max(1, (x.deadline - now + 999) / 1_000), t -> expired(x));
-    waiting.add(x);
+    cancelIdleTimer();
+    command.timeoutTimer =
+        vertx.setTimer(
+            Math.max(1, (command.deadline - now + 999) / 1_000), t -> onTimeout(command));
+    queued.add(command);
     flush();
-    watchIdle(); // what has no answer is over by now
+    // A one-way command may already be complete, which leaves the connection idle.
+    restartIdleTimer();
   }
 
-  /** Gives an exchange up before its time. */
-  boolean withdraw(Buffer id, OutcomeCode code) {
-    PendingCommand x = out.get(id);
-    if (x == null) {
-      x = waiting.stream().filter(w -> w.id.equals(id)).findFirst().orElse(null);
+  /**
+   * Ends a command before its deadline.
+   *
+   * @param code the outcome if the command was already written
+   * @return whether the connection had a command with this id
+   */
+  boolean cancel(Buffer id, OutcomeCode code) {
+    PendingCommand command = awaitingReply.get(id);
+    if (command == null) {
+      command = queued.stream().filter(other -> other.id.equals(id)).findFirst().orElse(null);
     }
-    if (x != null) {
-      giveUp(x, code);
+    if (command != null) {
+      abandon(command, code);
     }
-    return x != null;
+    return command != null;
   }
 
   /**
-   * Takes nothing new, gives back what was not written yet, and closes once all that is out has
-   * ended. Guards what waits for the connection to come up: it would go to an address that by now
-   * is another's, or to a worker that drains.
+   * Accepts no more commands, fails those that were not written and closes once all replies have
+   * arrived. Commands that still wait for the connection to open must not be sent: the address may
+   * belong to another worker by then, or the worker may be draining.
    */
   void retire() {
     retired = true;
-    List<PendingCommand> unsent = new ArrayList<>(waiting);
-    waiting.clear();
-    unsent.forEach(x -> lose(x, OutcomeCode.MOOT));
+    List<PendingCommand> unsent = new ArrayList<>(queued);
+    queued.clear();
+    unsent.forEach(command -> fail(command, OutcomeCode.MOOT));
     closeIfIdle();
   }
 
+  /** Closes the connection if it has no commands. */
   void closeIfIdle() {
     if (load() == 0) {
       close();
     }
   }
 
-  /** Whether bytes handed to the connection have not left this process yet. */
-  boolean isStuck() {
+  /** Whether bytes written to the connection are still buffered in this process. */
+  boolean hasUnsentBytes() {
     ChannelOutboundBuffer unsent =
-        socket == null ? null : handlers().channel().unsafe().outboundBuffer();
+        socket == null ? null : channelContext().channel().unsafe().outboundBuffer();
     return unsent != null && unsent.totalPendingWriteBytes() > 0;
   }
 
+  /** Closes the connection; commands that were written end as reset. */
   void close() {
-    end(OutcomeCode.RESET);
+    closeWith(OutcomeCode.RESET);
   }
 
-  private ChannelHandlerContext handlers() {
+  private ChannelHandlerContext channelContext() {
     return ((NetSocketInternal) socket).channelHandlerContext();
   }
 
   private void flush() {
-    while (socket != null && !closed && !waiting.isEmpty() && !socket.writeQueueFull()) {
-      PendingCommand x = waiting.poll();
+    while (socket != null && !closed && !queued.isEmpty() && !socket.writeQueueFull()) {
+      PendingCommand command = queued.poll();
       long now = clock.now();
-      // Guards rule 3, and callers who have gone: what was queued before the worker drained, or
-      // before its caller left.
-      boolean withheld = x.isNewWork() && !home.mayStart(now);
+      // The worker may have begun to drain, or the caller may have left, since the command was
+      // queued.
+      boolean withheld = command.isNewWork() && !listener.mayStart(now);
       if (withheld) {
-        home.withheld();
+        listener.onSendWithheld();
       }
-      if (withheld || !x.isWanted(now)) {
-        drop(x);
-        x.lost(OutcomeCode.MOOT);
+      if (withheld || !command.isWanted(now)) {
+        fail(command, OutcomeCode.MOOT);
         continue;
       }
-      socket.write(x.command(now));
-      if (x.isOneWay()) {
-        drop(x);
+      socket.write(command.command(now));
+      if (command.isOneWay()) {
+        cancelTimeout(command);
         continue;
       }
-      x.written = true;
-      x.writtenAt = now;
-      out.put(x.id, x);
+      command.written = true;
+      command.writtenAt = now;
+      awaitingReply.put(command.id, command);
     }
-    watchSilence(false);
+    startSilenceTimer(false);
   }
 
-  private void expired(PendingCommand x) {
-    x.timer = -1;
-    boolean silent = x.written && heardAt < x.writtenAt;
-    giveUp(x, OutcomeCode.TIMEOUT);
-    if (silent) { // guards against a machine that is cut off: its connections stay open and say
-      // nothing
+  /**
+   * Ends a command at its deadline. If nothing has arrived since the command was written, the
+   * connection is retired: the connections to a machine that is cut off from the network stay open
+   * without carrying data.
+   */
+  private void onTimeout(PendingCommand command) {
+    command.timeoutTimer = -1;
+    boolean silent = command.written && lastReplyAt < command.writtenAt;
+    abandon(command, OutcomeCode.TIMEOUT);
+    if (silent) {
       retire();
     }
   }
 
-  private void giveUp(PendingCommand x, OutcomeCode code) {
-    boolean written = out.remove(x.id) != null;
-    waiting.remove(x);
-    drop(x);
+  private void abandon(PendingCommand command, OutcomeCode code) {
+    boolean written = awaitingReply.remove(command.id) != null;
+    queued.remove(command);
+    cancelTimeout(command);
     if (written && !closed) {
-      avoid(x.id);
-      if (x.withdrawal() != null) {
-        socket.write(x.withdrawal());
+      markStale(command.id);
+      if (command.cancelCommand() != null) {
+        socket.write(command.cancelCommand());
       }
     }
-    x.lost(written ? code : OutcomeCode.MOOT);
-    watchIdle();
+    command.onFailure(written ? code : OutcomeCode.MOOT);
+    restartIdleTimer();
   }
 
-  private void avoid(Buffer id) {
-    stale.add(id);
-    retired |=
-        stale.size()
-            > MOST_STALE; // guards the memory: a worker that answers nothing, or nothing good
+  /**
+   * Keeps an id from being reused here. Too many such ids retire the connection, which bounds the
+   * memory for a worker that never replies or only with errors.
+   */
+  private void markStale(Buffer id) {
+    staleIds.add(id);
+    retired |= staleIds.size() > MAX_STALE_IDS;
   }
 
-  private void answer(List<Buffer> parts) {
-    heardAt = clock.now();
-    PendingCommand x = out.remove(parts.get(0));
-    if (x == null) {
-      stale.remove(parts.get(0)); // the late answer of one that was given up
+  private void onReply(List<Buffer> parts) {
+    lastReplyAt = clock.now();
+    PendingCommand command = awaitingReply.remove(parts.get(0));
+    if (command == null) {
+      // The late reply to an abandoned command: its id can be used again.
+      staleIds.remove(parts.get(0));
       return;
     }
-    drop(x);
-    if (!x.isSettledBy(parts)) {
-      avoid(x.id);
+    cancelTimeout(command);
+    if (!command.isFinalReply(parts)) {
+      markStale(command.id);
     }
-    x.answered(parts);
-    watchIdle();
+    command.onReply(parts);
+    restartIdleTimer();
     if (retired) {
       closeIfIdle();
     }
   }
 
-  private void end(OutcomeCode code) {
+  /**
+   * @param code the outcome of the commands that were written; the others end as {@code
+   *     CONNECT_FAILED}, since they never ran
+   */
+  private void closeWith(OutcomeCode code) {
     if (closed) {
       return;
     }
     closed = true;
-    cancelIdle();
-    cancelStuck();
-    cancelSilent();
+    cancelIdleTimer();
+    cancelPartialReplyTimer();
+    cancelSilenceTimer();
     if (socket != null) {
-      // Past the library's close, which waits until all is written: guards rule 3, callers who have
-      // gone and the descriptors against
-      // a worker that reads on when its commands have long been given up.
-      handlers().close();
+      // Closes the Netty channel directly, since NetSocket.close() waits until all bytes are
+      // written. A worker that resumes reading must not receive commands after it began to drain
+      // or after their callers left, and a worker that does not read must not hold a descriptor.
+      channelContext().close();
     }
-    List<PendingCommand> sent = new ArrayList<>(out.values());
-    List<PendingCommand> unsent = new ArrayList<>(waiting);
-    out.clear();
-    waiting.clear();
-    sent.forEach(x -> lose(x, code));
-    unsent.forEach(x -> lose(x, OutcomeCode.CONNECT_FAILED)); // never written, so it never ran
-    home.closed(this);
+    List<PendingCommand> sent = new ArrayList<>(awaitingReply.values());
+    List<PendingCommand> unsent = new ArrayList<>(queued);
+    awaitingReply.clear();
+    queued.clear();
+    sent.forEach(command -> fail(command, code));
+    unsent.forEach(command -> fail(command, OutcomeCode.CONNECT_FAILED));
+    listener.onClosed(this);
   }
 
-  private void lose(PendingCommand x, OutcomeCode code) {
-    drop(x);
-    x.lost(code);
+  private void fail(PendingCommand command, OutcomeCode code) {
+    cancelTimeout(command);
+    command.onFailure(code);
   }
 
-  private void drop(PendingCommand x) {
-    if (x.timer >= 0) {
-      vertx.cancelTimer(x.timer);
-      x.timer = -1;
+  private void cancelTimeout(PendingCommand command) {
+    if (command.timeoutTimer >= 0) {
+      vertx.cancelTimer(command.timeoutTimer);
+      command.timeoutTimer = -1;
     }
   }
 
   /**
-   * Closes before the worker would: a command that crosses its close would count as one that may
-   * have run.
+   * Schedules the close of an idle connection, earlier than the worker's own idle timeout: a
+   * command that is sent while the worker closes would count as one that may have run.
    */
-  private void watchIdle() {
+  private void restartIdleTimer() {
     if (load() == 0 && !closed && socket != null && idleMillis > 0) {
-      cancelIdle();
+      cancelIdleTimer();
       idleTimer = vertx.setTimer(idleMillis, t -> close());
     }
   }
 
-  private void cancelIdle() {
+  private void cancelIdleTimer() {
     if (idleTimer >= 0) {
       vertx.cancelTimer(idleTimer);
       idleTimer = -1;
--- a/src/main/java/umberrun/worker/WorkerPool.java
+++ b/src/main/java/umberrun/worker/WorkerPool.java
@@ -27,11 +27,20 @@
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
-/** The connections to all workers, and the commands that travel on them. */
+/**
+ * Sends commands to the workers and manages the connections to them. Not thread-safe: it is to be
+ * used from one event loop only.
+ */
 public final class WorkerPool implements WorkerTransport {
-  private static final int MOST_LINKS_EACH = 8;
-  private static final long PROBE_MICROS = 500_000;
-  private static final double IDLE_PART = 0.8;
+  private static final int MAX_CONNECTIONS_PER_WORKER = 8;
+  private static final long PROBE_TIMEOUT_MICROS = 500_000;
+
+  /**
+   * The fraction of the idle timeout in the settings after which an idle connection is closed, so
+   * that this side closes before the worker does.
+   */
+  private static final double IDLE_CLOSE_FRACTION = 0.8;
+
   private static final Buffer RUN = Buffer.buffer("RUN");
   private static final Buffer STOP = Buffer.buffer("STOP");
   private static final Buffer HOLD = Buffer.buffer("HOLD");
@@ -44,10 +53,10 @@
   private final Counters counters;
   private final Settings settings;
   private final SettingNames names;
-  private final ConnectionLimits account;
+  private final ConnectionLimits connectionLimits;
   private final WorkerLeaseView leases;
   private final Map<Integer, Worker> workers = new HashMap<>();
-  private long tag;
+  private long lastTag;
 
   public WorkerPool(
       Vertx vertx,
@@ -55,7 +64,7 @@
       Counters counters,
       Settings settings,
       SettingNames names,
-      ConnectionLimits account,
+      ConnectionLimits connectionLimits,
       WorkerLeaseView leases) {
     this.leases = leases;
     this.vertx = vertx;
@@ -63,160 +72,167 @@
     this.counters = counters;
     this.settings = settings;
     this.names = names;
-    this.account = account;
+    this.connectionLimits = connectionLimits;
     NetClientOptions options = new NetClientOptions().setTcpNoDelay(true);
-    if (settings.limits().connectTimeout()
-        > 0) { // else what waits for a connection ends by its own time
+    // Without a connect timeout, a command that waits for its connection ends at its own deadline.
+    if (settings.limits().connectTimeout() > 0) {
       options.setConnectTimeout((int) Math.max(1, settings.limits().connectTimeout() / 1_000));
     }
     this.client = vertx.createNetClient(options);
   }
 
-  /** One worker's address and connections. */
+  /** The address of one worker and the connections to it. */
   private final class Worker implements WorkerConnection.Listener {
     private final int id;
     private Endpoint endpoint;
+
+    /** From when on no new work may be written, in microseconds; {@code MAX_VALUE} for never. */
     private long stopAt = Long.MAX_VALUE;
-    private final List<WorkerConnection> open = new ArrayList<>();
+
+    private final List<WorkerConnection> connections = new ArrayList<>();
 
     Worker(int id) {
       this.id = id;
     }
 
     /**
-     * A worker that restarted or moved gets new connections; the old ones may be dead without
-     * saying so.
+     * Applies a change of the worker's address, state or stop time. The connections to a worker
+     * that restarted or moved are retired, as they may be dead without being closed. Those to a
+     * worker that is not ready are retired too: it gets no new work, and other workers need the
+     * descriptors.
      */
-    void update(Endpoint e, long stop) {
+    void update(Endpoint newEndpoint, long newStopAt) {
       boolean moved =
           endpoint != null
-              && (endpoint.startedAt() != e.startedAt()
-                  || endpoint.port() != e.port()
-                  || !endpoint.host().equals(e.host()));
-      boolean sooner = stop < stopAt;
-      endpoint = e;
-      stopAt = stop;
-      if (moved
-          || e.state()
-              != WorkerState.READY) { // nothing new is sent there, and others need the descriptors
-        List.copyOf(open).forEach(WorkerConnection::retire);
+              && (endpoint.startedAt() != newEndpoint.startedAt()
+                  || endpoint.port() != newEndpoint.port()
+                  || !endpoint.host().equals(newEndpoint.host()));
+      boolean sooner = newStopAt < stopAt;
+      endpoint = newEndpoint;
+      stopAt = newStopAt;
+      if (moved || newEndpoint.state() != WorkerState.READY) {
+        List.copyOf(connections).forEach(WorkerConnection::retire);
       }
-      if (stop <= clock.now()) {
-        closeStuck();
+      if (newStopAt <= clock.now()) {
+        closeBlockedConnections();
       } else if (sooner) {
-        vertx.setTimer(Math.max(1, (stop - clock.now()) / 1_000 + 1), t -> closeStuck());
+        vertx.setTimer(
+            Math.max(1, (newStopAt - clock.now()) / 1_000 + 1), t -> closeBlockedConnections());
       }
     }
 
     @Override
     public boolean mayStart(long now) {
-      // Gone: another worker may have its address by now. The lease: a drain that discovery could
-      // not tell counts as told all the same.
+      // The address of a worker that has left the list may belong to another worker by now. Once
+      // the lease has ended, the worker counts as draining, since discovery could not have
+      // reported a drain.
       return now < stopAt && endpoint.state() != WorkerState.GONE && now < leases.leaseUntil(id);
     }
 
     @Override
-    public void withheld() {
+    public void onSendWithheld() {
       counters.add(Count.SENDS_WITHHELD);
     }
 
     /**
-     * Guards rule 3 against bytes that still wait in a full connection when nothing new may come.
+     * Closes the connections with bytes that are not sent yet once no new work may be written:
+     * otherwise a blocked connection could deliver new work after the worker began to drain.
      */
-    private void closeStuck() {
+    private void closeBlockedConnections() {
       if (!mayStart(clock.now())) {
-        List.copyOf(open).stream()
-            .filter(WorkerConnection::isStuck)
+        List.copyOf(connections).stream()
+            .filter(WorkerConnection::hasUnsentBytes)
             .forEach(WorkerConnection::close);
       }
     }
 
     @Override
-    public void closed(WorkerConnection link) {
-      account.release(Purpose.LINKS);
-      open.remove(link);
-      forgetIfGone();
+    public void onClosed(WorkerConnection connection) {
+      connectionLimits.release(Purpose.LINKS);
+      connections.remove(connection);
+      removeIfGone();
     }
 
-    /**
-     * Lets go of a worker that will not come back, with its last connection, or at once where it
-     * has none.
-     */
-    private void forgetIfGone() {
-      if (open.isEmpty() && endpoint.state() == WorkerState.GONE) {
+    /** Removes a worker that has left the list once it has no connections. */
+    private void removeIfGone() {
+      if (connections.isEmpty() && endpoint.state() == WorkerState.GONE) {
         workers.values().remove(this);
       }
     }
 
-    void submit(PendingCommand x) {
+    /** Submits a command on the least loaded connection that accepts it, or on a new one. */
+    void submit(PendingCommand command) {
       WorkerConnection best = null;
-      for (WorkerConnection l : open) {
-        if (l.accepts(x, names.streamsPerConnection())
-            && (best == null || l.load() < best.load())) {
-          best = l;
+      for (WorkerConnection connection : connections) {
+        if (connection.accepts(command, names.streamsPerConnection())
+            && (best == null || connection.load() < best.load())) {
+          best = connection;
         }
       }
-      if (best == null && open.size() < MOST_LINKS_EACH && takePlace()) {
+      if (best == null && connections.size() < MAX_CONNECTIONS_PER_WORKER && reserveConnection()) {
         best = connect();
       }
-      if (best == null) { // guards the descriptors: nothing ran, and the worker is not to blame
-        x.lost(OutcomeCode.MOOT);
+      if (best == null) {
+        // No descriptor is left for the command: it did not run, and the worker is not at fault.
+        command.onFailure(OutcomeCode.MOOT);
       } else {
-        best.submit(x);
+        best.submit(command);
       }
     }
 
     /**
-     * A place for one more link: a free one, or that of the link which has lain idle for longest.
+     * Reserves a descriptor for one more connection. If the limit is reached, the connection that
+     * has been idle for longest is closed.
      */
-    private boolean takePlace() {
-      if (account.inUse(Purpose.LINKS) >= account.limit(Purpose.LINKS)) {
+    private boolean reserveConnection() {
+      if (connectionLimits.inUse(Purpose.LINKS) >= connectionLimits.limit(Purpose.LINKS)) {
         workers.values().stream()
-            .flatMap(w -> w.open.stream())
+            .flatMap(worker -> worker.connections.stream())
             .filter(WorkerConnection::isIdle)
-            .min(Comparator.comparingLong(WorkerConnection::heardAt))
+            .min(Comparator.comparingLong(WorkerConnection::lastReplyAt))
             .ifPresent(WorkerConnection::close);
       }
-      return account.tryAcquire(Purpose.LINKS);
+      return connectionLimits.tryAcquire(Purpose.LINKS);
     }
 
     private WorkerConnection connect() {
-      WorkerConnection link =
-          new WorkerConnection(vertx, clock, this, (long) (IDLE_PART * names.idleCloseMillis()));
-      open.add(link);
+      WorkerConnection connection =
+          new WorkerConnection(
+              vertx, clock, this, (long) (IDLE_CLOSE_FRACTION * names.idleCloseMillis()));
+      connections.add(connection);
       counters.add(Count.WORKER_CONNECTIONS);
       client
           .connect(endpoint.port(), endpoint.host())
           .onComplete(
-              link::opened,
+              connection::onConnected,
               e -> {
                 if (e instanceof ConnectException && !(e instanceof ConnectTimeoutException)) {
                   leases.onConnectionRefused(id);
                 }
-                link.refused();
+                connection.onConnectFailed();
               });
-      return link;
+      return connection;
     }
   }
 
   @Override
   public void update(int id, Endpoint endpoint, long stopAt) {
-    Worker w = workers.computeIfAbsent(id, Worker::new);
-    w.update(endpoint, stopAt);
-    w.forgetIfGone();
+    Worker worker = workers.computeIfAbsent(id, Worker::new);
+    worker.update(endpoint, stopAt);
+    worker.removeIfGone();
   }
 
-  /** How many workers are kept in mind. */
-  int known() {
+  /** Returns the number of workers held in memory. */
+  int workerCount() {
     return workers.size();
   }
 
-  private void submit(int worker, PendingCommand x) {
-    Worker w = workers.get(worker);
-    if (w == null) {
-      x.lost(OutcomeCode.CONNECT_FAILED);
+  private void submit(int workerId, PendingCommand command) {
+    Worker worker = workers.get(workerId);
+    if (worker == null) {
+      command.onFailure(OutcomeCode.CONNECT_FAILED);
     } else {
-      w.submit(x);
+      worker.submit(command);
     }
   }
 
@@ -252,61 +268,63 @@
           }
 
           @Override
-          boolean isSettledBy(List<Buffer> parts) {
-            return parts.size() > 1 && ReplyFields.code(parts.get(1)) == OutcomeCode.OK;
+          boolean isFinalReply(List<Buffer> parts) {
+            return parts.size() > 1 && ReplyFields.outcomeCode(parts.get(1)) == OutcomeCode.OK;
           }
 
           @Override
-          Buffer withdrawal() {
+          Buffer cancelCommand() {
             return RespParser.command(STOP, id);
           }
 
           @Override
-          void answered(List<Buffer> parts) {
-            attempt.complete(ending(parts));
+          void onReply(List<Buffer> parts) {
+            attempt.complete(attemptResult(parts));
           }
 
           @Override
-          void lost(OutcomeCode code) {
+          void onFailure(OutcomeCode code) {
             attempt.complete(AttemptResult.of(code));
           }
         });
   }
 
   /**
-   * Guards against an answer without a body or fields: it is read as an error, which proves
-   * nothing.
+   * Decodes the reply to a call. A reply without fields or body counts as an error, which leaves
+   * open whether the call ran.
    */
-  private AttemptResult ending(List<Buffer> parts) {
+  private AttemptResult attemptResult(List<Buffer> parts) {
     if (parts.size() != 4) {
       return AttemptResult.of(OutcomeCode.ERROR);
     }
-    ReplyFields f = new ReplyFields(parts.get(2));
-    OutcomeCode code = ReplyFields.code(parts.get(1));
-    boolean counted = code == OutcomeCode.OK || code == OutcomeCode.FULL;
+    ReplyFields fields = new ReplyFields(parts.get(2));
+    OutcomeCode code = ReplyFields.outcomeCode(parts.get(1));
+    boolean reportsConcurrency = code == OutcomeCode.OK || code == OutcomeCode.FULL;
     return new AttemptResult(
         code,
-        f.note(),
-        counted ? f.count("depth") : -1,
-        f.report(settings.loadReportFormat().fields()),
+        fields.copyStatus(),
+        reportsConcurrency ? fields.count("depth") : -1,
+        fields.loadReport(settings.loadReportFormat().fields()),
         parts.get(3));
   }
 
   @Override
   public void cancel(Attempt attempt) {
-    Worker w = workers.get(attempt.worker());
-    if (w != null) {
-      List.copyOf(w.open).stream()
-          .anyMatch(l -> l.withdraw(attempt.request().requestId(), OutcomeCode.CANCELLED));
+    Worker worker = workers.get(attempt.worker());
+    if (worker != null) {
+      List.copyOf(worker.connections).stream()
+          .anyMatch(
+              connection ->
+                  connection.cancel(attempt.request().requestId(), OutcomeCode.CANCELLED));
     }
   }
 
-  // ---------------------------------------------------------------- orders and probes
+  // ---------------------------------------------------------------- preloads and probes
 
   @Override
-  public void preload(PreloadRequest order) {
+  public void preload(PreloadRequest preload) {
     submit(
-        order.worker(),
+        preload.worker(),
         new PendingCommand(nextTag(), clock.now() + names.preloadTimeoutMillis() * 1_000) {
           @Override
           Buffer command(long now) {
@@ -314,52 +332,53 @@
                 HOLD,
                 id,
                 Buffer.buffer("asset=")
-                    .appendBuffer(order.function())
-                    .appendString(",pods=" + order.copies()));
+                    .appendBuffer(preload.function())
+                    .appendString(",pods=" + preload.copies()));
           }
 
           @Override
           boolean isNewWork() {
-            return order.copies() > 0;
+            return preload.copies() > 0;
           }
 
           @Override
-          void answered(List<Buffer> parts) {
-            order.complete(
-                parts.size() < 2 ? OutcomeCode.ERROR : ReplyFields.code(parts.get(1)),
+          void onReply(List<Buffer> parts) {
+            preload.complete(
+                parts.size() < 2 ? OutcomeCode.ERROR : ReplyFields.outcomeCode(parts.get(1)),
                 parts.size() < 3 ? 0 : new ReplyFields(parts.get(2)).count("pods"));
           }
 
           @Override
-          void lost(OutcomeCode code) {
-            order.complete(code, 0);
+          void onFailure(OutcomeCode code) {
+            preload.complete(code, 0);
           }
         });
   }
 
   @Override
-  public void probe(WorkerProbe probing) {
+  public void probe(WorkerProbe probe) {
     submit(
-        probing.worker(),
-        new PendingCommand(nextTag(), clock.now() + PROBE_MICROS) {
+        probe.worker(),
+        new PendingCommand(nextTag(), clock.now() + PROBE_TIMEOUT_MICROS) {
           @Override
           Buffer command(long now) {
             return RespParser.command(INFO, id);
           }
 
           @Override
-          void answered(List<Buffer> parts) {
+          void onReply(List<Buffer> parts) {
             boolean alive = parts.size() > 1 && parts.get(1).toString().equals("alive");
-            probing.complete(
+            probe.complete(
                 alive ? OutcomeCode.OK : OutcomeCode.ERROR,
                 parts.size() < 3
                     ? null
-                    : new ReplyFields(parts.get(2)).report(settings.loadReportFormat().fields()));
+                    : new ReplyFields(parts.get(2))
+                        .loadReport(settings.loadReportFormat().fields()));
           }
 
           @Override
-          void lost(OutcomeCode code) {
-            probing.complete(code, null);
+          void onFailure(OutcomeCode code) {
+            probe.complete(code, null);
           }
         });
   }
@@ -368,7 +387,7 @@
   public void unload(int worker, Buffer function) {
     submit(
         worker,
-        new PendingCommand(nextTag(), clock.now() + PROBE_MICROS) {
+        new PendingCommand(nextTag(), clock.now() + PROBE_TIMEOUT_MICROS) {
           @Override
           Buffer command(long now) {
             return RespParser.command(FREE, function);
@@ -380,33 +399,37 @@
           }
 
           @Override
-          void answered(List<Buffer> parts) {}
+          void onReply(List<Buffer> parts) {}
 
           @Override
-          void lost(OutcomeCode code) {}
+          void onFailure(OutcomeCode code) {}
         });
   }
 
   @Override
-  public void closeIdle(int worker) {
-    Worker w = workers.get(worker);
-    if (w != null) {
-      List.copyOf(w.open).forEach(WorkerConnection::closeIfIdle);
+  public void closeIdle(int workerId) {
+    Worker worker = workers.get(workerId);
+    if (worker != null) {
+      List.copyOf(worker.connections).forEach(WorkerConnection::closeIfIdle);
     }
   }
 
-  /** Reads made-up answers, so that the framing is compiled before the first real one comes. */
-  public static void warmUp(int answers) {
+  /**
+   * Parses synthetic replies, so that the JIT compiler has compiled the parser before the first
+   * real reply.
+   */
+  public static void warmUp(int replies) {
     Buffer body = Buffer.buffer(new byte[200]);
     Buffer fields = Buffer.buffer("n=w,depth=3");
     Buffer id = Buffer.buffer("0123456789abcdef");
-    RespParser parser = new RespParser(parts -> new ReplyFields(parts.get(2)).note(), () -> {});
-    for (int i = 0; i < answers; i++) {
+    RespParser parser =
+        new RespParser(parts -> new ReplyFields(parts.get(2)).copyStatus(), () -> {});
+    for (int i = 0; i < replies; i++) {
       parser.handle(RespParser.command(id, Buffer.buffer("200"), fields, body));
     }
   }
 
   private Buffer nextTag() {
-    return Buffer.buffer("t" + ++tag);
+    return Buffer.buffer("t" + ++lastTag);
   }
 }
--- a/src/test/java/umberrun/worker/WorkerPoolTest.java
+++ b/src/test/java/umberrun/worker/WorkerPoolTest.java
@@ -28,9 +28,9 @@
 import umberrun.core.WorkerLeaseView;
 import umberrun.stats.Counters;
 
-/** What the way to the workers keeps, and what it reads, without a socket. */
+/** Tests of the connections to the workers and of the parser of their replies. */
 public class WorkerPoolTest {
-  /** Discovery is never out of reach. */
+  /** Leases that never end, as while discovery is always reachable. */
   private static final WorkerLeaseView LEASES =
       new WorkerLeaseView() {
         @Override
@@ -42,7 +42,10 @@
         public void onConnectionRefused(int worker) {}
       };
 
-  /** On a long day workers come and go by the hundred; most were never called from here. */
+  /**
+   * A worker that leaves the list is removed from memory even if it never had a connection. In a
+   * large fleet, workers come and go by the hundred, and one front end never calls most of them.
+   */
   @Test
   public void aGoneWorkerIsForgottenWithoutAConnection() throws Exception {
     Vertx vertx = Vertx.vertx();
@@ -59,7 +62,7 @@
       pool.update(id, endpoint(id, WorkerState.READY), 0);
       pool.update(id, endpoint(id, WorkerState.GONE), 1);
     }
-    assertEquals(0, pool.known());
+    assertEquals(0, pool.workerCount());
     vertx.close();
   }
 
@@ -72,23 +75,28 @@
   }
 
   /**
-   * A fleet of more workers than places for links: an idle link gives way, where the command was
-   * refused before.
+   * With more workers than connections allowed, an idle connection is closed to make room, so that
+   * no command is refused.
    */
   @Test
-  public void moreWorkersThanPlacesAreAllReached() throws Exception {
+  public void moreWorkersThanConnectionsAreAllReached() throws Exception {
     try (Fleet fleet = new Fleet()) {
       for (int id = 0; id < 150; id++) {
         fleet.command(id);
         assertTrue("worker " + id, fleet.arrived.tryAcquire(10, TimeUnit.SECONDS));
       }
-      assertTrue(fleet.account.inUse(Purpose.LINKS) <= fleet.account.limit(Purpose.LINKS));
+      assertTrue(
+          fleet.connectionLimits.inUse(Purpose.LINKS)
+              <= fleet.connectionLimits.limit(Purpose.LINKS));
     }
   }
 
-  /** What is replaced keeps no descriptor until it would close as idle: the newcomers need it. */
+  /**
+   * The idle connection to a draining worker frees its descriptor at once and not only after its
+   * idle timeout, since the workers that replace it need the descriptor.
+   */
   @Test
-  public void aDrainedWorkersIdleLinkIsClosedAtOnce() throws Exception {
+  public void aDrainedWorkersIdleConnectionIsClosedAtOnce() throws Exception {
     try (Fleet fleet = new Fleet()) {
       fleet.command(0);
       assertTrue(fleet.arrived.tryAcquire(10, TimeUnit.SECONDS));
@@ -98,24 +106,25 @@
   }
 
   /**
-   * A worker does not read when its link ends, as with a drain that finds it stuck; when it reads
-   * on, the rest does not come.
+   * A connection is closed while the worker does not read, as when it begins to drain with bytes
+   * still unsent. When the worker reads again, it must not receive the rest of the command.
    */
   @Test
-  public void whatWasNotWrittenYetWhenALinkEndsIsNotWritten() throws Exception {
+  public void unsentBytesAreDroppedWhenAConnectionCloses() throws Exception {
     Vertx vertx = Vertx.vertx();
-    int bytes = 32 << 20; // more than the system takes in for a reader that does not read
+    // More than the operating system buffers for a reader that does not read.
+    int bytes = 32 << 20;
     try (ServerSocket worker = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      CompletableFuture<OutcomeCode> end = new CompletableFuture<>();
+      CompletableFuture<OutcomeCode> outcome = new CompletableFuture<>();
       vertx.runOnContext(
           v -> {
-            WorkerConnection link =
+            WorkerConnection connection =
                 new WorkerConnection(
                     vertx,
                     new Clock(),
                     new WorkerConnection.Listener() {
                       @Override
-                      public void withheld() {}
+                      public void onSendWithheld() {}
 
                       @Override
                       public boolean mayStart(long now) {
@@ -123,7 +132,7 @@
                       }
 
                       @Override
-                      public void closed(WorkerConnection l) {}
+                      public void onClosed(WorkerConnection closed) {}
                     },
                     60_000);
             vertx
@@ -131,14 +140,14 @@
                 .connect(worker.getLocalPort(), "127.0.0.1")
                 .onSuccess(
                     s -> {
-                      link.opened(s);
-                      link.submit(command(bytes, end));
-                      assertTrue(link.isStuck());
-                      link.close();
+                      connection.onConnected(s);
+                      connection.submit(command(bytes, outcome));
+                      assertTrue(connection.hasUnsentBytes());
+                      connection.close();
                     });
           });
       try (Socket s = worker.accept()) {
-        assertEquals(OutcomeCode.RESET, end.get(10, TimeUnit.SECONDS));
+        assertEquals(OutcomeCode.RESET, outcome.get(10, TimeUnit.SECONDS));
         long read = s.getInputStream().transferTo(OutputStream.nullOutputStream());
         assertTrue(read + " bytes", read < bytes);
       }
@@ -147,7 +156,7 @@
     }
   }
 
-  private static PendingCommand command(int bytes, CompletableFuture<OutcomeCode> end) {
+  private static PendingCommand command(int bytes, CompletableFuture<OutcomeCode> outcome) {
     return new PendingCommand(Buffer.buffer("9b1f"), Long.MAX_VALUE / 2) {
       @Override
       Buffer command(long now) {
@@ -155,24 +164,29 @@
       }
 
       @Override
-      void answered(List<Buffer> parts) {}
+      void onReply(List<Buffer> parts) {}
 
       @Override
-      void lost(OutcomeCode code) {
-        end.complete(code);
+      void onFailure(OutcomeCode code) {
+        outcome.complete(code);
       }
     };
   }
 
   /**
-   * Workers of any number that all listen at one port, and the way to them, within 256 descriptors.
+   * Any number of workers that share one listening port, and a pool for them that is limited to 256
+   * descriptors.
    */
   private static final class Fleet implements AutoCloseable {
     private final Vertx vertx = Vertx.vertx();
     private final Context context = vertx.getOrCreateContext();
+    /** One permit for each piece of data that arrived at a worker. */
     final Semaphore arrived = new Semaphore(0);
+
+    /** One permit for each connection that a worker saw close. */
     final Semaphore closed = new Semaphore(0);
-    final ConnectionLimits account = new ConnectionLimits(256, false, false, 0);
+
+    final ConnectionLimits connectionLimits = new ConnectionLimits(256, false, false, 0);
     private final WorkerPool pool =
         new WorkerPool(
             vertx,
@@ -180,7 +194,7 @@
             new Counters(),
             SettingsJson.read("{}"),
             new SettingNames(List.of("a"), List.of(), List.of(), List.of(), 60_000, 100, 1_000),
-            account,
+            connectionLimits,
             LEASES);
     private final int port;
 
@@ -200,6 +214,7 @@
               .actualPort();
     }
 
+    /** Makes the worker known and sends it a command without a reply. */
     void command(int id) {
       context.runOnContext(
           v -> {
@@ -219,35 +234,38 @@
     }
   }
 
-  /** A line without an end is refused as soon as it is longer than any header. */
+  /** A header line without an end is rejected as soon as it exceeds the longest valid header. */
   @Test
-  public void anEndlessLineIsGarbageAtOnce() {
-    boolean[] garbage = {false};
-    RespParser parser = new RespParser(parts -> {}, () -> garbage[0] = true);
+  public void anEndlessHeaderLineIsRejectedAtOnce() {
+    boolean[] malformed = {false};
+    RespParser parser = new RespParser(parts -> {}, () -> malformed[0] = true);
     parser.handle(Buffer.buffer("*"));
-    assertTrue(parser.isMidway());
-    assertFalse(garbage[0]);
+    assertTrue(parser.hasPartialArray());
+    assertFalse(malformed[0]);
     parser.handle(Buffer.buffer("1".repeat(64)));
-    assertTrue(garbage[0]);
+    assertTrue(malformed[0]);
   }
 
-  /** Whatever pieces it comes in, and whole between two answers. */
+  /**
+   * Arrays are parsed when their bytes arrive one at a time, and no partial array is reported after
+   * the last of them.
+   */
   @Test
-  public void aStreamIsCutIntoAnswers() {
-    List<List<Buffer>> answers = new ArrayList<>();
-    RespParser parser = new RespParser(answers::add, () -> answers.add(null));
-    Buffer one =
+  public void aStreamIsSplitIntoArrays() {
+    List<List<Buffer>> arrays = new ArrayList<>();
+    RespParser parser = new RespParser(arrays::add, () -> arrays.add(null));
+    Buffer encoded =
         RespParser.command(
             Buffer.buffer("9b1f"),
             Buffer.buffer("200"),
             Buffer.buffer("-"),
             Buffer.buffer("x\r\ny".repeat(500)));
-    for (byte b : Buffer.buffer().appendBuffer(one).appendBuffer(one).getBytes()) {
+    for (byte b : Buffer.buffer().appendBuffer(encoded).appendBuffer(encoded).getBytes()) {
       parser.handle(Buffer.buffer(new byte[] {b}));
     }
-    assertEquals(2, answers.size());
-    assertEquals(answers.get(0), answers.get(1));
-    assertEquals(2, parser.read());
-    assertFalse(parser.isMidway());
+    assertEquals(2, arrays.size());
+    assertEquals(arrays.get(0), arrays.get(1));
+    assertEquals(2, parser.arraysRead());
+    assertFalse(parser.hasPartialArray());
   }
 }
