--- a/src/main/java/umberrun/worker/ReplyFields.java
+++ b/src/main/java/umberrun/worker/ReplyFields.java
@@ -14,6 +14,7 @@
 final class ReplyFields {
   private final Map<String, String> values = new HashMap<>();
 
+  /** Parses the fields; pairs without a name are ignored. */
   ReplyFields(Buffer text) {
     for (String pair : text.toString().split(",")) {
       int equals = pair.indexOf('=');
--- a/src/main/java/umberrun/worker/WorkerConnection.java
+++ b/src/main/java/umberrun/worker/WorkerConnection.java
@@ -45,7 +45,7 @@
    */
   private static final long PARTIAL_REPLY_TIMEOUT_MILLIS = 250;
 
-  /** The number of commands awaiting a reply from which on the silence of a worker is checked. */
+  /** Silence is checked only while at least this many commands await a reply. */
   private static final int SILENCE_CHECK_MIN_COMMANDS = 3;
 
   /**
@@ -66,17 +66,26 @@
 
   /**
    * Ids for which a late or second reply may still arrive. A retry with one of these ids has to use
-   * another connection, since it could not be told which of the two attempts a reply belongs to.
+   * another connection, since a reply could belong to either attempt.
    */
   private final Set<Buffer> staleIds = new HashSet<>();
 
   private NetSocket socket;
+
+  /** When the last reply arrived or the connection opened, in microseconds. */
   private long lastReplyAt;
+
   private RespParser parser;
+
+  /** Ids of Vert.x timers, or -1 for one that is not running. */
   private long idleTimer = -1;
+
   private long partialReplyTimer = -1;
   private long silenceTimer = -1;
+
+  /** Whether the connection accepts no more commands. */
   private boolean retired;
+
   private boolean closed;
 
   /**
--- a/src/main/java/umberrun/worker/WorkerPool.java
+++ b/src/main/java/umberrun/worker/WorkerPool.java
@@ -56,8 +56,15 @@
   private final ConnectionLimits connectionLimits;
   private final WorkerLeaseView leases;
   private final Map<Integer, Worker> workers = new HashMap<>();
+
+  /** The number in the id of the last command that is not a call; see {@link #nextTag()}. */
   private long lastTag;
 
+  /**
+   * @param names the settings' names of classes, with the limits of the connections
+   * @param connectionLimits counts the connections against the process's descriptors
+   * @param leases tells until when each worker may be sent new work
+   */
   public WorkerPool(
       Vertx vertx,
       Clock clock,
@@ -429,6 +436,7 @@
     }
   }
 
+  /** Returns a new id for a command that is not a call. */
   private Buffer nextTag() {
     return Buffer.buffer("t" + ++lastTag);
   }
--- a/src/main/java/umberrun/workerlist/ChangeLogSource.java
+++ b/src/main/java/umberrun/workerlist/ChangeLogSource.java
@@ -1,7 +1,7 @@
 package umberrun.workerlist;
 
+import static umberrun.workerlist.JsonFields.indexOf;
 import static umberrun.workerlist.JsonFields.number;
-import static umberrun.workerlist.JsonFields.place;
 import static umberrun.workerlist.JsonFields.text;
 
 import com.google.gson.JsonArray;
@@ -22,144 +22,152 @@
 import umberrun.stats.Counters;
 
 /**
- * The platform's change log, asked again as soon as it has answered. A lost poll is repeated; the
- * list stays.
+ * Follows the list of workers in the platform's change log by long polling. A failed poll is
+ * retried; until one succeeds, the list stays as it is.
  */
 public final class ChangeLogSource implements WorkerListSource {
-  /** Short, since a log that stops is only noticed when the wait is over. */
-  private static final long POLL_MILLIS = 1_000;
+  /**
+   * How long the log may wait for an event before it responds. Short, since a log that has stopped
+   * is detected only after this time.
+   */
+  private static final long POLL_WAIT_MILLIS = 1_000;
 
-  /** The wait asked for while the log was not heard: whether it is back is to be known soon. */
-  private static final long CHECK_MILLIS = 50;
+  /** The wait requested after a failed poll, to detect soon that the log is back. */
+  private static final long RECOVERY_POLL_WAIT_MILLIS = 50;
 
   private final LongPoller poller;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Clock clock;
   private final SettingNames names;
   private final Counters counters;
-  private long seen;
 
-  /** Whether the last poll that ended was answered. */
-  private boolean answers;
+  /** The highest sequence number received; 0 before the first event. */
+  private long lastSequence;
 
+  private boolean lastPollSucceeded;
+
+  /**
+   * @param address the HTTP address of the change log
+   * @param names the zones and kinds of the settings, whose order gives their indexes
+   */
   public ChangeLogSource(
       Vertx vertx,
       SocketAddress address,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Clock clock,
       SettingNames names,
       Counters counters) {
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.clock = clock;
     this.names = names;
     this.counters = counters;
     this.poller = new LongPoller(vertx, address, counters);
   }
 
-  /** Takes the events that came with the configuration. */
+  /** Applies the events that are part of the configuration. */
   public void loadInitial(JsonObject events) {
-    take(events);
+    applyAll(events);
   }
 
   @Override
   public void start() {
-    poller.repeat(POLL_MILLIS, this::poll);
+    poller.repeat(POLL_WAIT_MILLIS, this::poll);
   }
 
   private Future<Void> poll() {
-    long askedAt = clock.now();
-    long wait = answers ? POLL_MILLIS : CHECK_MILLIS;
+    long requestedAt = clock.now();
+    long waitMillis = lastPollSucceeded ? POLL_WAIT_MILLIS : RECOVERY_POLL_WAIT_MILLIS;
     return poller
-        .ask(
+        .request(
             HttpMethod.GET,
-            "/changes?since=" + seen + "&timeout=" + wait,
+            "/changes?since=" + lastSequence + "&timeout=" + waitMillis,
             Buffer.buffer(),
-            wait + LongPoller.LATE_MILLIS)
+            waitMillis + LongPoller.LATE_RESPONSE_MILLIS)
         .<Void>map(
-            answer -> {
-              JsonObject events = answer.json().getAsJsonObject();
+            response -> {
+              JsonObject events = response.json().getAsJsonObject();
               long last = (long) number(events, "seq");
-              if (last > 0 && last < seen) {
-                throw new IllegalStateException(
-                    "the log is behind what it told before"); // and so proves nothing of now
+              // A log that lags behind its earlier responses does not show the current list.
+              if (last > 0 && last < lastSequence) {
+                throw new IllegalStateException("change log is behind an earlier response");
               }
-              take(events);
+              applyAll(events);
               return null;
             })
         .onSuccess(
             v -> {
-              answers = true;
-              owner.discovery().onResponse(askedAt);
+              lastPollSucceeded = true;
+              dispatchLoop.discovery().onResponse(requestedAt);
             })
         .onFailure(
             e -> {
-              answers = false;
+              lastPollSucceeded = false;
               if (e instanceof LongPoller.ResponseAborted) {
-                owner.discovery().onResponseAborted();
+                dispatchLoop.discovery().onResponseAborted();
               }
             });
   }
 
-  /** The log answers at another address from now on; its numbers go on. */
+  /** Polls the log at another address from now on; its sequence numbers continue. */
   public void moveTo(SocketAddress address) {
     poller.moveTo(address);
   }
 
-  private void take(JsonObject events) {
+  private void applyAll(JsonObject events) {
     if (events.get("results") instanceof JsonArray results) {
       for (JsonElement e : results) {
-        // One that can't be read is passed over, as a line is: guards the list against the same
-        // event with each poll, for good.
-        JsonFields.readable(
+        // A malformed event is skipped like a malformed list entry: otherwise it would return with
+        // each poll and block the list for good.
+        JsonFields.readOrNull(
             () -> {
-              take(e.getAsJsonObject().get("seq").getAsLong(), e.getAsJsonObject());
+              apply(e.getAsJsonObject().get("seq").getAsLong(), e.getAsJsonObject());
               return null;
             },
             counters);
       }
     }
-    seen = Math.max(seen, (long) number(events, "seq"));
+    lastSequence = Math.max(lastSequence, (long) number(events, "seq"));
   }
 
-  private void take(long seq, JsonObject event) {
-    boolean first = seen == 0;
-    boolean news = seq > seen;
-    seen = Math.max(seen, seq);
-    if (news && event.get("fleet") instanceof JsonObject fleet) {
-      JsonArray lines = fleet.getAsJsonArray("endpoints");
-      List<Endpoint> endpoints = JsonFields.each(lines, this::endpoint, counters);
-      // A whole list with a line that can't be read is not taken for whole: the worker in it would
-      // be gone.
-      boolean whole =
+  private void apply(long sequence, JsonObject event) {
+    boolean first = lastSequence == 0;
+    boolean isNew = sequence > lastSequence;
+    lastSequence = Math.max(lastSequence, sequence);
+    if (isNew && event.get("fleet") instanceof JsonObject fleet) {
+      JsonArray entries = fleet.getAsJsonArray("endpoints");
+      List<Endpoint> endpoints = JsonFields.readEndpoints(entries, this::endpoint, counters);
+      // A snapshot with a malformed entry is applied as a delta: as a full list, it would remove
+      // the worker of that entry.
+      boolean complete =
           fleet.has("snapshot")
               && fleet.get("snapshot").getAsBoolean()
-              && endpoints.size() == lines.size();
-      owner.updateWorkers(
-          !whole ? ListKind.DELTA : first ? ListKind.CACHED : ListKind.FULL, endpoints);
+              && endpoints.size() == entries.size();
+      dispatchLoop.updateWorkers(
+          !complete ? ListKind.DELTA : first ? ListKind.CACHED : ListKind.FULL, endpoints);
     }
   }
 
-  private Endpoint endpoint(JsonObject o) {
-    String address = o.get("address").getAsString();
+  private Endpoint endpoint(JsonObject entry) {
+    String address = entry.get("address").getAsString();
     int colon = address.lastIndexOf(':');
     return new Endpoint(
-        o.get("name").getAsString(),
+        entry.get("name").getAsString(),
         address.substring(0, colon),
         Integer.parseInt(address.substring(colon + 1)),
-        place(names.zones(), text(o, "zone")),
-        place(names.kinds(), text(o, "type")),
-        (int) number(o, "group"),
-        state(text(o, "status")),
-        number(o, "weight"),
-        (long) number(o, "since_ms") * 1_000);
+        indexOf(names.zones(), text(entry, "zone")),
+        indexOf(names.kinds(), text(entry, "type")),
+        (int) number(entry, "group"),
+        state(text(entry, "status")),
+        number(entry, "weight"),
+        (long) number(entry, "since_ms") * 1_000);
   }
 
-  private static WorkerState state(String word) {
-    return switch (word) {
+  /** An unknown status counts as draining, the strictest state that keeps the worker. */
+  private static WorkerState state(String status) {
+    return switch (status) {
       case "in_service" -> WorkerState.READY;
       case "terminated" -> WorkerState.GONE;
-      default ->
-          WorkerState.DRAINING; // an unknown word gets the strictest reading that keeps the worker
+      default -> WorkerState.DRAINING;
     };
   }
 }
--- a/src/main/java/umberrun/workerlist/ConsulSource.java
+++ b/src/main/java/umberrun/workerlist/ConsulSource.java
@@ -1,8 +1,8 @@
 package umberrun.workerlist;
 
+import static umberrun.workerlist.JsonFields.indexOf;
 import static umberrun.workerlist.JsonFields.number;
 import static umberrun.workerlist.JsonFields.object;
-import static umberrun.workerlist.JsonFields.place;
 import static umberrun.workerlist.JsonFields.text;
 
 import com.google.gson.JsonArray;
@@ -29,176 +29,189 @@
 import umberrun.stats.Counters;
 
 /**
- * Consul as the source of the list: the instances of one service and their checks by blocking
- * queries on the health API; their zone, kind and start, as metadata, from the catalogue. A
- * critical instance drains, one that is absent is gone. The front end itself is registered with a
- * check on its health path.
+ * Follows the list of workers in Consul. Blocking queries on the health API return the instances of
+ * one service with their checks; the catalog holds their zone, kind and start time as metadata. An
+ * instance with a critical check is draining, and an absent instance has left the list. The front
+ * end registers itself as a service with an HTTP check on its health path.
  */
 public final class ConsulSource implements WorkerListSource {
-  private static final String INDEX = "X-Consul-Index";
-  private static final String FLEET = "fleet";
-  private static final long SHORT_MILLIS = 2_000;
+  private static final String INDEX_HEADER = "X-Consul-Index";
+  private static final String FLEET_META_KEY = "fleet";
+  private static final long REQUEST_TIMEOUT_MILLIS = 2_000;
 
   /**
-   * A query waits no longer for news: until it is answered there is no telling a quiet Consul from
-   * one that is out of reach.
+   * The longest wait of a blocking query. Until the query returns, a Consul without changes cannot
+   * be told from one that is unreachable.
    */
-  private static final long MOST_WAIT_MILLIS = 1_000;
+  private static final long MAX_WAIT_MILLIS = 1_000;
+
+  /** Consul may lengthen the wait by a random part of up to a sixteenth. */
+  private static final long JITTER_DIVISOR = 16;
 
   private final LongPoller poller;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final SettingNames names;
   private final OperatorFile.ConsulOptions settings;
+
+  /** The id under which the front end is registered as a service. */
   private final String id;
-  private final SocketAddress invoke;
+
+  private final SocketAddress invokeAddress;
   private final Counters counters;
   private final Clock clock;
 
-  /** Where other front ends reach this one, or empty. */
-  private String fleet = "";
+  /** The address at which other front ends reach this one, or empty if there is none. */
+  private String fleetAddress = "";
 
+  /** The Consul index of the list applied last; 0 before the first list and after a reset. */
   private long index;
 
   /**
-   * @param invoke where the invoke API listens, and so its health check
+   * @param names the zones and kinds of the settings, whose order gives their indexes
+   * @param name the name of this front end, part of its service id
+   * @param invokeAddress the listening address of the invoke API, which serves the health path
    */
   public ConsulSource(
       Vertx vertx,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Clock clock,
       SettingNames names,
       OperatorFile.ConsulOptions settings,
       String name,
-      SocketAddress invoke,
+      SocketAddress invokeAddress,
       Counters counters) {
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.clock = clock;
     this.names = names;
     this.settings = settings;
     this.id = settings.service() + "-" + name;
-    this.invoke = invoke;
+    this.invokeAddress = invokeAddress;
     this.counters = counters;
     this.poller = new LongPoller(vertx, settings.agent(), counters);
   }
 
   @Override
   public void start() {
-    poller.once(this::register);
+    poller.runUntilSuccess(this::register);
     if (!settings.workers().isEmpty()) {
-      poller.repeat(waitMillis() + waitMillis() / 16, this::poll);
+      poller.repeat(waitMillis() + waitMillis() / JITTER_DIVISOR, this::poll);
     }
   }
 
   @Override
   public void deregister() {
-    poller.ask(
+    poller.request(
         HttpMethod.PUT,
         "/v1/agent/service/deregister/" + encoded(id),
         Buffer.buffer(),
-        SHORT_MILLIS);
+        REQUEST_TIMEOUT_MILLIS);
   }
 
-  /** Tells others in the catalogue where they reach this front end. */
+  /** Publishes in the catalog the address at which other front ends reach this one. */
   public void announce(String address) {
-    fleet = address;
-    poller.once(this::register);
+    fleetAddress = address;
+    poller.runUntilSuccess(this::register);
   }
 
-  /** Where the other instances of the own service say that they are reached. */
+  /** Returns the addresses that the instances of this service have published in the catalog. */
   public Future<List<String>> peerAddresses() {
     return poller
-        .ask(
+        .request(
             HttpMethod.GET,
             "/v1/catalog/service/" + encoded(settings.service()),
             Buffer.buffer(),
-            SHORT_MILLIS)
+            REQUEST_TIMEOUT_MILLIS)
         .map(
-            catalogue -> {
-              List<String> found = new ArrayList<>();
-              for (JsonElement e : catalogue.json().getAsJsonArray()) {
-                String at = meta(e.getAsJsonObject(), FLEET);
-                if (!at.isEmpty()) {
-                  found.add(at);
+            catalog -> {
+              List<String> addresses = new ArrayList<>();
+              for (JsonElement e : catalog.json().getAsJsonArray()) {
+                String address = metadata(e.getAsJsonObject(), FLEET_META_KEY);
+                if (!address.isEmpty()) {
+                  addresses.add(address);
                 }
               }
-              return found;
+              return addresses;
             });
   }
 
   private Future<Void> register() {
     JsonObject check = new JsonObject();
-    check.addProperty("HTTP", "http://" + invoke.host() + ":" + invoke.port() + "/v1/health");
+    check.addProperty(
+        "HTTP", "http://" + invokeAddress.host() + ":" + invokeAddress.port() + "/v1/health");
     check.addProperty("Interval", "2s");
     check.addProperty("Timeout", "1s");
     check.addProperty("DeregisterCriticalServiceAfter", "1m");
     JsonObject service = new JsonObject();
     service.addProperty("ID", id);
     service.addProperty("Name", settings.service());
-    service.addProperty("Address", invoke.host());
-    service.addProperty("Port", invoke.port());
+    service.addProperty("Address", invokeAddress.host());
+    service.addProperty("Port", invokeAddress.port());
     service.add("Check", check);
-    if (!fleet.isEmpty()) {
+    if (!fleetAddress.isEmpty()) {
       JsonObject meta = new JsonObject();
-      meta.addProperty(FLEET, fleet);
+      meta.addProperty(FLEET_META_KEY, fleetAddress);
       service.add("Meta", meta);
     }
     return poller
-        .ask(
+        .request(
             HttpMethod.PUT,
             "/v1/agent/service/register",
             Buffer.buffer(service.toString()),
-            SHORT_MILLIS)
+            REQUEST_TIMEOUT_MILLIS)
         .mapEmpty();
   }
 
   private long waitMillis() {
-    return Math.min(MOST_WAIT_MILLIS, settings.waitMillis());
+    return Math.min(MAX_WAIT_MILLIS, settings.waitMillis());
   }
 
   private Future<Void> poll() {
     String service = encoded(settings.workers());
-    long askedAt = clock.now();
+    long requestedAt = clock.now();
     return poller
-        .ask(
+        .request(
             HttpMethod.GET,
             "/v1/health/service/" + service + "?index=" + index + "&wait=" + waitMillis() + "ms",
             Buffer.buffer(),
-            waitMillis() + waitMillis() / 16 + LongPoller.LATE_MILLIS)
-        .compose(health -> take(service, health))
-        .onSuccess(v -> owner.discovery().onResponse(askedAt));
+            waitMillis() + waitMillis() / JITTER_DIVISOR + LongPoller.LATE_RESPONSE_MILLIS)
+        .compose(health -> apply(service, health))
+        .onSuccess(v -> dispatchLoop.discovery().onResponse(requestedAt));
   }
 
-  private Future<Void> take(String service, LongPoller.Answer health) {
-    long next = Long.parseLong(String.valueOf(health.response().getHeader(INDEX)));
-    if (next == index) { // the wait ran out: nothing has changed
+  private Future<Void> apply(String service, LongPoller.Response health) {
+    long newIndex = Long.parseLong(String.valueOf(health.httpResponse().getHeader(INDEX_HEADER)));
+    // An unchanged index means that the wait ended without a change of the list.
+    if (newIndex == index) {
       return Future.succeededFuture();
     }
     return poller
-        .ask(HttpMethod.GET, "/v1/catalog/service/" + service, Buffer.buffer(), SHORT_MILLIS)
+        .request(
+            HttpMethod.GET,
+            "/v1/catalog/service/" + service,
+            Buffer.buffer(),
+            REQUEST_TIMEOUT_MILLIS)
         .map(
-            catalogue -> {
-              JsonArray lines = health.json().getAsJsonArray();
-              List<Endpoint> endpoints = endpoints(lines, catalogue.json());
-              boolean whole =
-                  endpoints.size()
-                      == lines
-                          .size(); // as with the change log, a list with an unreadable line is not
-              // whole
-              owner.updateWorkers(
-                  !whole ? ListKind.DELTA : index == 0 ? ListKind.CACHED : ListKind.FULL,
+            catalog -> {
+              JsonArray instances = health.json().getAsJsonArray();
+              List<Endpoint> endpoints = endpoints(instances, catalog.json());
+              // A list with a malformed instance is applied as a delta: as a full list, it would
+              // remove the worker of that instance.
+              boolean complete = endpoints.size() == instances.size();
+              dispatchLoop.updateWorkers(
+                  !complete ? ListKind.DELTA : index == 0 ? ListKind.CACHED : ListKind.FULL,
                   endpoints);
-              index =
-                  next < index ? 0 : next; // an index that went back means a new state: start over
+              // An index that went back means that Consul's state was reset: start over.
+              index = newIndex < index ? 0 : newIndex;
               return null;
             });
   }
 
-  private List<Endpoint> endpoints(JsonArray health, JsonElement catalogue) {
+  private List<Endpoint> endpoints(JsonArray health, JsonElement catalog) {
     Map<String, JsonObject> entries = new HashMap<>();
-    for (JsonElement e : catalogue.getAsJsonArray()) {
+    for (JsonElement e : catalog.getAsJsonArray()) {
       entries.put(text(e.getAsJsonObject(), "ServiceID"), e.getAsJsonObject());
     }
-    return JsonFields.each(
+    return JsonFields.readEndpoints(
         health,
         instance -> {
           JsonObject service = object(instance, "Service");
@@ -209,23 +222,23 @@
               text(service, "ID"),
               host,
               (int) number(service, "Port"),
-              place(names.zones(), meta(entry, "zone")),
-              place(names.kinds(), meta(entry, "kind")),
+              indexOf(names.zones(), metadata(entry, "zone")),
+              indexOf(names.kinds(), metadata(entry, "kind")),
               0,
               state(instance),
               1,
-              start(meta(entry, "since_ms")));
+              startedAtMicros(metadata(entry, "since_ms")));
         },
         counters);
   }
 
-  /** What the instance says of itself, or else its node. */
-  private static String meta(JsonObject entry, String key) {
+  /** Returns the metadata of the instance or, if it has none for the key, of its node. */
+  private static String metadata(JsonObject entry, String key) {
     String own = text(object(entry, "ServiceMeta"), key);
     return own.isEmpty() ? text(object(entry, "NodeMeta"), key) : own;
   }
 
-  private static long start(String millis) {
+  private static long startedAtMicros(String millis) {
     return millis.isEmpty() ? 0 : Long.parseLong(millis) * 1_000;
   }
 
--- a/src/main/java/umberrun/workerlist/JsonFields.java
+++ b/src/main/java/umberrun/workerlist/JsonFields.java
@@ -11,40 +11,43 @@
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
-/** Fields that may be absent, and names that settings give a position. */
+/** Reads JSON fields that may be absent, and lists of workers with malformed entries. */
 final class JsonFields {
   private JsonFields() {}
 
-  static String text(JsonObject o, String key) {
-    return o.has(key) && !o.get(key).isJsonNull() ? o.get(key).getAsString() : "";
+  /** Returns a text field, or the empty string if it is absent or null. */
+  static String text(JsonObject object, String key) {
+    return object.has(key) && !object.get(key).isJsonNull() ? object.get(key).getAsString() : "";
   }
 
-  static double number(JsonObject o, String key) {
-    return o.has(key) && !o.get(key).isJsonNull() ? o.get(key).getAsDouble() : 0;
+  /** Returns a numeric field, or 0 if it is absent or null. */
+  static double number(JsonObject object, String key) {
+    return object.has(key) && !object.get(key).isJsonNull() ? object.get(key).getAsDouble() : 0;
   }
 
-  static JsonObject object(JsonObject o, String key) {
-    return o.get(key) instanceof JsonObject x ? x : new JsonObject();
+  /** Returns an object field, or an empty object if it is absent or of another type. */
+  static JsonObject object(JsonObject parent, String key) {
+    return parent.get(key) instanceof JsonObject child ? child : new JsonObject();
   }
 
   /**
-   * What can be read of a list's lines. One that can't is counted and passed over: guards the list
-   * against going quiet for good, as the same line would come with each poll again.
+   * Reads the entries of a list of workers. A malformed entry is counted and skipped: failing the
+   * whole list would block all further updates, as the same entry returns with each poll.
    */
-  static List<Endpoint> each(
-      JsonArray lines, Function<JsonObject, Endpoint> reader, Counters counters) {
-    List<Endpoint> read = new ArrayList<>();
-    for (JsonElement line : lines) {
-      Endpoint endpoint = readable(() -> reader.apply(line.getAsJsonObject()), counters);
+  static List<Endpoint> readEndpoints(
+      JsonArray entries, Function<JsonObject, Endpoint> reader, Counters counters) {
+    List<Endpoint> endpoints = new ArrayList<>();
+    for (JsonElement entry : entries) {
+      Endpoint endpoint = readOrNull(() -> reader.apply(entry.getAsJsonObject()), counters);
       if (endpoint != null) {
-        read.add(endpoint);
+        endpoints.add(endpoint);
       }
     }
-    return read;
+    return endpoints;
   }
 
-  /** What was read, or null where it is of another form than expected, which is counted. */
-  static <T> T readable(Supplier<T> reader, Counters counters) {
+  /** Returns the value from the reader, or null if the JSON is malformed, which is counted. */
+  static <T> T readOrNull(Supplier<T> reader, Counters counters) {
     try {
       return reader.get();
     } catch (IllegalStateException
@@ -58,9 +61,9 @@
     }
   }
 
-  /** Unknown names share a place of their own, behind all known ones. */
-  static int place(List<String> names, String name) {
-    int at = names.indexOf(name);
-    return at < 0 ? names.size() : at;
+  /** Returns the index of a name; all unknown names share the index behind the known ones. */
+  static int indexOf(List<String> names, String name) {
+    int index = names.indexOf(name);
+    return index < 0 ? names.size() : index;
   }
 }
--- a/src/main/java/umberrun/workerlist/LongPoller.java
+++ b/src/main/java/umberrun/workerlist/LongPoller.java
@@ -22,49 +22,52 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Asks a server that answers late, over and over: at once when it has answered, after a wait when
- * it has not. A round that is not over in time has the next one beside it, on a connection of its
- * own, and is given up a while later: a server that is slow is still heard, and one that has
- * forgotten a request is asked again. A round whose server has moved is given up at once.
+ * Sends long-polling requests to one HTTP server, over and over. The next poll follows at once on a
+ * success and after a backoff on a failure. A poll that is late gets the next one beside it, on a
+ * connection of its own, and is abandoned only some time later: the response of a slow server is
+ * still used, and a server that has lost a request is asked again. If the server moves, open polls
+ * are abandoned at once.
  */
 final class LongPoller {
-  /** One round: asks, and takes in what was answered. */
+  /** One poll: sends its requests and applies the responses. */
   interface Poll extends Supplier<Future<Void>> {}
 
-  /** The answer had begun, and did not come to its end. */
+  /** A response began with status 200 and did not arrive in full. */
   static final class ResponseAborted extends RuntimeException {
     ResponseAborted(Throwable cause) {
       super(cause.getMessage(), cause, false, false);
     }
   }
 
+  /** The connect timeout, and the margin beyond the time that a server is given to respond. */
   private static final long SLACK_MILLIS = 500;
 
-  /** An answer that is so late is given up. */
-  static final long LATE_MILLIS = 4_500;
+  /** How long a late response is still awaited while newer polls run beside it. */
+  static final long LATE_RESPONSE_MILLIS = 4_500;
 
-  private static final int MOST_UNDER_WAY = 4;
-  private static final long FIRST_RETRY_MILLIS = 20;
-  private static final long LAST_RETRY_MILLIS = 640;
+  private static final int MAX_CONCURRENT_POLLS = 4;
+  private static final long MIN_BACKOFF_MILLIS = 20;
+  private static final long MAX_BACKOFF_MILLIS = 640;
 
-  /** Of one answer: a list of some 16,000 workers. */
-  private static final int MOST_BYTES = 4 << 20;
+  /** The size limit of a response body, enough for a list of some 16,000 workers. */
+  private static final int MAX_BODY_BYTES = 4 << 20;
 
   private final Vertx vertx;
   private final HttpClient client;
   private final Counters counters;
   private SocketAddress address;
-  private long retryMillis = FIRST_RETRY_MILLIS;
+  private long backoffMillis = MIN_BACKOFF_MILLIS;
 
-  /** Rounds of what is repeated that have not ended. */
-  private int underWay;
+  /** The number of repeated polls that have not ended. */
+  private int openPolls;
 
-  /** What is asked and not answered yet, also what is still being dialled for. */
-  private final Set<Promise<Answer>> asked = new HashSet<>();
+  /** The requests without a response so far, including those that wait for a connection. */
+  private final Set<Promise<Response>> openRequests = new HashSet<>();
 
-  /** The wait for the next round of what is repeated. */
-  private long retryTimer = -1;
+  /** The Vert.x timer of the backoff before the next repeated poll, or -1 if none is running. */
+  private long backoffTimer = -1;
 
+  /** What runs at the end of the backoff. */
   private Runnable retry;
 
   LongPoller(Vertx vertx, SocketAddress address, Counters counters) {
@@ -76,116 +79,122 @@
   }
 
   /**
-   * Repeats a round as long as the process lives.
+   * Repeats a poll for as long as the process runs.
    *
-   * @param usualMillis after which a round in good order is over
+   * @param usualMillis the time within which a poll normally ends, in milliseconds
    */
-  void repeat(long usualMillis, Poll round) {
-    new Turn(usualMillis, round).begin();
+  void repeat(long usualMillis, Poll poll) {
+    new RepeatedPoll(usualMillis, poll).start();
   }
 
-  /** One round of those that are repeated. */
-  private final class Turn {
+  /** One run of a poll that is repeated. */
+  private final class RepeatedPoll {
     private final long usualMillis;
-    private final Poll round;
+    private final Poll poll;
+
+    /** Whether the next run was started while this one was late. */
     private boolean hasSuccessor;
 
-    Turn(long usualMillis, Poll round) {
+    RepeatedPoll(long usualMillis, Poll poll) {
       this.usualMillis = usualMillis;
-      this.round = round;
+      this.poll = poll;
     }
 
-    void begin() {
-      underWay++;
-      long late = vertx.setTimer(usualMillis + SLACK_MILLIS, t -> late());
-      attempt(round)
+    void start() {
+      openPolls++;
+      long lateTimer = vertx.setTimer(usualMillis + SLACK_MILLIS, t -> onLate());
+      attempt(poll)
           .onComplete(
               v -> {
-                retryMillis = FIRST_RETRY_MILLIS;
-                end(late, this::next);
+                backoffMillis = MIN_BACKOFF_MILLIS;
+                end(lateTimer, this::startNext);
               },
-              e -> end(late, () -> retryLater(this::next)));
+              e -> end(lateTimer, () -> retryLater(this::startNext)));
     }
 
-    private void late() {
-      if (underWay < MOST_UNDER_WAY) {
+    private void onLate() {
+      if (openPolls < MAX_CONCURRENT_POLLS) {
         counters.add(Count.POLLS_LATE);
         hasSuccessor = true;
-        next();
+        startNext();
       }
     }
 
-    private void end(long late, Runnable then) {
-      underWay--;
-      vertx.cancelTimer(late);
+    private void end(long lateTimer, Runnable continuation) {
+      openPolls--;
+      vertx.cancelTimer(lateTimer);
       if (!hasSuccessor) {
-        then.run();
+        continuation.run();
       }
     }
 
-    private void next() {
-      repeat(usualMillis, round);
+    private void startNext() {
+      repeat(usualMillis, poll);
     }
   }
 
-  /** Carries a round out once, however many tries that takes. */
-  void once(Poll round) {
-    attempt(round)
+  /** Runs a poll until it has succeeded once. */
+  void runUntilSuccess(Poll poll) {
+    attempt(poll)
         .onFailure(
             e -> {
               counters.add(Count.POLLS_LOST);
-              vertx.setTimer(LAST_RETRY_MILLIS, t -> once(round));
+              vertx.setTimer(MAX_BACKOFF_MILLIS, t -> runUntilSuccess(poll));
             });
   }
 
   /**
-   * The server answers elsewhere from now on: it is asked there at once, since the old one may stay
-   * silent. Guards against what the old one may yet say to a request, also to one that is still
-   * being dialled for: it would be taken for the new one's word.
+   * Sends requests to another address from now on, the first one at once, as the old server may
+   * stay silent. Open requests fail, including those that still wait for a connection: a response
+   * of the old server must not be taken for one of the new server.
    */
-  void moveTo(SocketAddress to) {
-    if (to.equals(address)) {
+  void moveTo(SocketAddress newAddress) {
+    if (newAddress.equals(address)) {
       return;
     }
-    address = to;
-    retryMillis = 0;
-    if (retryTimer >= 0) {
-      vertx.cancelTimer(retryTimer);
-      retryTimer = -1;
+    address = newAddress;
+    backoffMillis = 0;
+    if (backoffTimer >= 0) {
+      vertx.cancelTimer(backoffTimer);
+      backoffTimer = -1;
       retry.run();
     } else {
-      List.copyOf(asked).forEach(a -> a.tryFail("the server has moved"));
+      List.copyOf(openRequests).forEach(request -> request.tryFail("the server has moved"));
     }
   }
 
-  /** Guards the polling against an answer of another form than expected: it counts as lost. */
-  private static Future<Void> attempt(Poll round) {
-    return Future.<Void>succeededFuture().compose(v -> round.get());
+  /** Runs a poll; an exception that it throws, as on a malformed response, fails the future. */
+  private static Future<Void> attempt(Poll poll) {
+    return Future.<Void>succeededFuture().compose(v -> poll.get());
   }
 
-  private void retryLater(Runnable again) {
+  private void retryLater(Runnable nextPoll) {
     counters.add(Count.POLLS_LOST);
-    retry = again;
-    retryTimer =
+    retry = nextPoll;
+    backoffTimer =
         vertx.setTimer(
-            Math.max(1, retryMillis),
+            Math.max(1, backoffMillis),
             t -> {
-              retryTimer = -1;
-              again.run();
+              backoffTimer = -1;
+              nextPoll.run();
             });
-    retryMillis = Math.min(LAST_RETRY_MILLIS, Math.max(FIRST_RETRY_MILLIS, 2 * retryMillis));
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, Math.max(MIN_BACKOFF_MILLIS, 2 * backoffMillis));
   }
 
   /**
-   * One request; the answer if its status is 200, with its body read. The time allowed covers the
-   * body too, and the connection goes with it: guards against an answer that stops midway and stays
-   * open.
+   * Sends one request. The future succeeds once a response with status 200 and its whole body have
+   * arrived. The timeout includes the body, and a failure closes the connection: otherwise a
+   * response that stops midway could keep the connection open forever.
+   *
+   * @param timeoutMillis the time that the server is given for the response, in milliseconds
    */
-  Future<Answer> ask(HttpMethod method, String uri, Buffer body, long millis) {
-    Promise<Answer> answer = Promise.promise();
-    AtomicBoolean begun = new AtomicBoolean();
-    long timer = vertx.setTimer(millis + SLACK_MILLIS, t -> answer.tryFail("not answered in time"));
-    asked.add(answer);
+  Future<Response> request(HttpMethod method, String uri, Buffer body, long timeoutMillis) {
+    Promise<Response> result = Promise.promise();
+    AtomicBoolean responseStarted = new AtomicBoolean();
+    long timer =
+        vertx.setTimer(
+            timeoutMillis + SLACK_MILLIS, t -> result.tryFail("no full response in time"));
+    openRequests.add(result);
     client
         .request(
             new RequestOptions()
@@ -195,45 +204,48 @@
                 .setMethod(method)
                 .setURI(uri))
         .compose(
-            r -> {
-              answer.future().onFailure(e -> r.connection().close());
-              return answer.future().isComplete() ? Future.failedFuture("given up") : r.send(body);
+            request -> {
+              result.future().onFailure(e -> request.connection().close());
+              return result.future().isComplete()
+                  ? Future.failedFuture("the request was abandoned")
+                  : request.send(body);
             })
         .compose(
-            r -> {
-              begun.set(r.statusCode() == 200);
-              return begun.get()
-                  ? whole(r).map(b -> new Answer(r, b))
-                  : Future.failedFuture("status " + r.statusCode());
+            response -> {
+              responseStarted.set(response.statusCode() == 200);
+              return responseStarted.get()
+                  ? readBody(response).map(received -> new Response(response, received))
+                  : Future.failedFuture("status " + response.statusCode());
             })
-        .onComplete(answer::tryComplete, answer::tryFail);
-    return answer
+        .onComplete(result::tryComplete, result::tryFail);
+    return result
         .future()
         .onComplete(
-            a -> {
-              asked.remove(answer);
+            r -> {
+              openRequests.remove(result);
               vertx.cancelTimer(timer);
             })
-        .recover(e -> Future.failedFuture(begun.get() ? new ResponseAborted(e) : e));
+        .recover(e -> Future.failedFuture(responseStarted.get() ? new ResponseAborted(e) : e));
   }
 
-  /** The body, read to its end. Guards the memory against one that has none. */
-  private static Future<Buffer> whole(HttpClientResponse response) {
-    Promise<Buffer> whole = Promise.promise();
+  /** Reads the body of a response to its end; its size is limited to bound the memory used. */
+  private static Future<Buffer> readBody(HttpClientResponse response) {
+    Promise<Buffer> result = Promise.promise();
     Buffer body = Buffer.buffer();
     response.handler(
-        piece -> {
-          if (body.length() + piece.length() > MOST_BYTES) {
-            whole.tryFail("an answer of more than " + MOST_BYTES + " bytes");
-          } else if (!whole.future().isComplete()) {
-            body.appendBuffer(piece);
+        chunk -> {
+          if (body.length() + chunk.length() > MAX_BODY_BYTES) {
+            result.tryFail("an answer of more than " + MAX_BODY_BYTES + " bytes");
+          } else if (!result.future().isComplete()) {
+            body.appendBuffer(chunk);
           }
         });
-    response.end().onComplete(v -> whole.tryComplete(body), whole::tryFail);
-    return whole.future();
+    response.end().onComplete(v -> result.tryComplete(body), result::tryFail);
+    return result.future();
   }
 
-  record Answer(HttpClientResponse response, Buffer body) {
+  /** A response with status 200 and its body. */
+  record Response(HttpClientResponse httpResponse, Buffer body) {
     JsonElement json() throws JsonParseException {
       return JsonParser.parseString(body.toString());
     }
--- a/src/main/java/umberrun/workerlist/WorkerListSource.java
+++ b/src/main/java/umberrun/workerlist/WorkerListSource.java
@@ -1,12 +1,13 @@
 package umberrun.workerlist;
 
-/** A source of the list of workers; what it learns goes to the owner. */
+/** A source of the list of workers. It passes each change of the list to the dispatch loop. */
 public interface WorkerListSource {
+  /** Starts to follow the list. */
   void start();
 
   /**
-   * This front end is told to end: it says so where others look it up, and goes on learning of
-   * drains.
+   * Removes this front end from the source's registry as it shuts down. The list is still followed
+   * meanwhile, so that workers that begin to drain get no new work. Does nothing by default.
    */
   default void deregister() {}
 }
--- a/src/test/java/umberrun/workerlist/LongPollerTest.java
+++ b/src/test/java/umberrun/workerlist/LongPollerTest.java
@@ -18,152 +18,164 @@
 import org.junit.Test;
 import umberrun.stats.Counters;
 
-/** What a poller takes for an answer, and from whom. */
+/** Tests which responses a poller uses, also after its server has moved or become slow. */
 public class LongPollerTest {
-  private static final long PATIENCE_SECONDS = 10;
+  private static final long TIMEOUT_SECONDS = 10;
+
   private final Vertx vertx = Vertx.vertx();
-  private final Context loop = vertx.getOrCreateContext();
-  private final BlockingQueue<String> taken = new LinkedBlockingQueue<>();
+  private final Context context = vertx.getOrCreateContext();
+
+  /** What the servers and requests of a test have reported, in order. */
+  private final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
 
   @After
   public void close() throws Exception {
-    vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
+  /** Returns the next report, or null if none comes in time. */
   private String next() throws InterruptedException {
-    return taken.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return reports.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   /**
-   * The server moves while the poller still waits for a connection to the old one, as the library
-   * gives five to a server: what is asked there ends, and what waits is not asked, since what the
-   * old one says is nobody's word any more.
+   * The server moves while a request still waits for a connection to the old one, as the HTTP
+   * client allows five connections per server. Open requests to the old server must end and the
+   * waiting one must not be sent: a response of the old server would be taken for one of the new.
    */
   @Test
   public void theOldServerIsNotAskedAfterAMove() throws Exception {
-    int most = 5;
-    AtomicInteger hung = new AtomicInteger();
+    int maxConnections = 5;
+    AtomicInteger requests = new AtomicInteger();
     SocketAddress old =
         listening(
             vertx
                 .createHttpServer()
-                .connectionHandler(c -> c.closeHandler(v -> taken.add("closed")))
+                .connectionHandler(c -> c.closeHandler(v -> reports.add("closed")))
                 .requestHandler(
-                    r -> taken.add(hung.incrementAndGet() <= most ? "hung" : r.path())));
-    SocketAddress now = listening(vertx.createHttpServer().requestHandler(r -> {}));
+                    r ->
+                        reports.add(
+                            requests.incrementAndGet() <= maxConnections ? "hung" : r.path())));
+    SocketAddress current = listening(vertx.createHttpServer().requestHandler(r -> {}));
     LongPoller poller = new LongPoller(vertx, old, new Counters());
-    loop.runOnContext(
+    context.runOnContext(
         v -> {
-          for (int i = 0; i < most; i++) {
-            poller.ask(HttpMethod.GET, "/", Buffer.buffer(), 100);
+          for (int i = 0; i < maxConnections; i++) {
+            poller.request(HttpMethod.GET, "/", Buffer.buffer(), 100);
           }
         });
-    expect(most, "hung");
-    loop.runOnContext(
+    expect(maxConnections, "hung");
+    context.runOnContext(
         v -> {
           poller.repeat(
-              TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS),
+              TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS),
               () ->
                   poller
-                      .ask(
+                      .request(
                           HttpMethod.GET,
                           "/late",
                           Buffer.buffer(),
-                          TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS))
+                          TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS))
                       .mapEmpty());
-          poller.moveTo(now);
+          poller.moveTo(current);
         });
-    expect(most, "closed");
-    loop.runOnContext(
+    expect(maxConnections, "closed");
+    context.runOnContext(
         v ->
             new LongPoller(vertx, old, new Counters())
-                .ask(HttpMethod.GET, "/other", Buffer.buffer(), 1_000));
+                .request(HttpMethod.GET, "/other", Buffer.buffer(), 1_000));
     expect(1, "/other");
   }
 
-  private void expect(int times, String what) throws InterruptedException {
+  private void expect(int times, String report) throws InterruptedException {
     for (int i = 0; i < times; i++) {
-      assertEquals(what, next());
+      assertEquals(report, next());
     }
   }
 
+  /** Starts the server on a free port and returns its address. */
   private static SocketAddress listening(HttpServer server) throws Exception {
     return SocketAddress.inetSocketAddress(
         server
             .listen(0, "127.0.0.1")
             .toCompletionStage()
             .toCompletableFuture()
-            .get(PATIENCE_SECONDS, TimeUnit.SECONDS)
+            .get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
             .actualPort(),
         "127.0.0.1");
   }
 
-  /** An answer without an end is given up when it is longer than any list. */
+  /** A response without an end is aborted once it exceeds the size limit. */
   @Test
-  public void anAnswerWithoutAnEndIsGivenUp() throws Exception {
+  public void anEndlessResponseIsAborted() throws Exception {
     int port =
         vertx
             .createNetServer()
             .connectHandler(
                 s -> {
                   s.write("HTTP/1.1 200 OK\r\n\r\n");
-                  pour(s);
+                  writeForever(s);
                 })
             .listen(0, "127.0.0.1")
             .toCompletionStage()
             .toCompletableFuture()
-            .get(PATIENCE_SECONDS, TimeUnit.SECONDS)
+            .get(TIMEOUT_SECONDS, TimeUnit.SECONDS)
             .actualPort();
-    loop.runOnContext(
+    context.runOnContext(
         v ->
             new LongPoller(
                     vertx, SocketAddress.inetSocketAddress(port, "127.0.0.1"), new Counters())
-                .ask(
+                .request(
                     HttpMethod.GET,
                     "/",
                     Buffer.buffer(),
-                    TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS))
-                .onComplete(a -> taken.add("whole"), e -> taken.add(e.getMessage())));
-    String end = next();
-    assertTrue(end, end.startsWith("an answer of more than"));
+                    TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS))
+                .onComplete(a -> reports.add("whole"), e -> reports.add(e.getMessage())));
+    String outcome = next();
+    assertTrue(outcome, outcome.startsWith("an answer of more than"));
   }
 
   /**
-   * A slow server is heard though the next round has begun by then, and one that forgets a request
-   * is asked anew.
+   * The response of a slow server is used although the next poll has begun by then, and a server
+   * that loses a request is asked again.
    */
   @Test
-  public void aLateAnswerCountsBesideTheNextRound() throws Exception {
-    AtomicInteger rounds = new AtomicInteger();
+  public void aLateResponseIsUsedBesideTheNextPoll() throws Exception {
+    AtomicInteger polls = new AtomicInteger();
     SocketAddress slow =
         listening(
             vertx
                 .createHttpServer()
                 .requestHandler(
                     r -> {
-                      if (rounds.incrementAndGet() == 2) {
-                        return; // forgotten
+                      if (polls.incrementAndGet() == 2) {
+                        // The second request is lost: it never gets a response.
+                        return;
                       }
                       vertx.setTimer(1_200, t -> r.response().end("late"));
                     }));
     LongPoller poller = new LongPoller(vertx, slow, new Counters());
-    loop.runOnContext(
+    context.runOnContext(
         v ->
             poller.repeat(
                 100,
                 () ->
                     poller
-                        .ask(HttpMethod.GET, "/", Buffer.buffer(), 100 + LongPoller.LATE_MILLIS)
+                        .request(
+                            HttpMethod.GET,
+                            "/",
+                            Buffer.buffer(),
+                            100 + LongPoller.LATE_RESPONSE_MILLIS)
                         .map(
                             a -> {
-                              taken.add(a.body().toString());
+                              reports.add(a.body().toString());
                               return null;
                             })));
     expect(3, "late");
-    assertTrue(rounds.get() + " rounds", rounds.get() >= 4);
+    assertTrue(polls.get() + " polls", polls.get() >= 4);
   }
 
-  private void pour(NetSocket s) {
-    s.write(Buffer.buffer(new byte[64 << 10])).onSuccess(v -> pour(s));
+  private void writeForever(NetSocket socket) {
+    socket.write(Buffer.buffer(new byte[64 << 10])).onSuccess(v -> writeForever(socket));
   }
 }
