--- a/src/main/java/saddlestall/benchlink/BatchLoop.java
+++ b/src/main/java/saddlestall/benchlink/BatchLoop.java
@@ -13,28 +13,41 @@
 import saddlestall.Dispatcher.Event;
 
 /**
- * Hosts the instances: hands each batch's events to them in order and answers with their actions.
+ * Runs instances of the decision module for a simulator: reads a frame of events, passes them in
+ * order to the instances that they are for, and replies with the actions of these instances.
  */
 final class BatchLoop implements FrameCodec.Sink {
-  private final FrameCodec wire = new FrameCodec();
+  private static final int MAX_STACK_FRAMES = 6;
+
+  private final FrameCodec codec = new FrameCodec();
   private final FrameCodec.Reply reply = new FrameCodec.Reply();
-  private final Map<Integer, Dispatcher> instances =
-      new HashMap<>(); // looked up only, never iterated
-  private final Consumer<Action> actions = this::act;
+
+  /** Only looked up, never iterated, so that the hash order has no effect on the replies. */
+  private final Map<Integer, Dispatcher> instances = new HashMap<>();
+
+  private final Consumer<Action> actions = this::onAction;
+
+  /** The clock of the current frame, in microseconds. */
   private long now;
+
+  /** The instance that the current event is for. */
   private int selected;
-  private int from;
-  private boolean named;
 
-  /** Runs until the input ends. */
+  /** The instance that the last action in the reply came from, if {@link #hasSender}. */
+  private int sender;
+
+  /** Whether the current reply has named an instance yet. */
+  private boolean hasSender;
+
+  /** Serves frames until the input ends. */
   void run(InputStream in, OutputStream out) throws IOException {
     for (ByteBuffer frame; (frame = FrameCodec.readFrame(in)) != null; ) {
       now = FrameCodec.clock(frame);
-      named = false;
+      hasSender = false;
       try {
-        wire.read(frame, this);
+        codec.read(frame, this);
       } catch (RuntimeException e) {
-        reply.bug(describe(e));
+        reply.exception(describe(e));
       }
       reply.write(out);
     }
@@ -64,21 +77,22 @@
     }
   }
 
-  private void act(Action action) {
-    if (!named || from != selected) {
+  private void onAction(Action action) {
+    if (!hasSender || sender != selected) {
       reply.from(selected);
-      from = selected;
-      named = true;
+      sender = selected;
+      hasSender = true;
     }
     reply.add(action);
   }
 
+  /** Returns the exception and its first stack frames in one line. */
   private static String describe(RuntimeException e) {
-    StringBuilder text = new StringBuilder(e.toString());
+    StringBuilder description = new StringBuilder(e.toString());
     StackTraceElement[] trace = e.getStackTrace();
-    for (int i = 0; i < Math.min(6, trace.length); i++) {
-      text.append(" at ").append(trace[i]);
+    for (int i = 0; i < Math.min(MAX_STACK_FRAMES, trace.length); i++) {
+      description.append(" at ").append(trace[i]);
     }
-    return text.toString();
+    return description.toString();
   }
 }
--- a/src/main/java/saddlestall/benchlink/Main.java
+++ b/src/main/java/saddlestall/benchlink/Main.java
@@ -7,11 +7,16 @@
 import java.io.IOException;
 import java.io.OutputStream;
 
-/** The command line: {@code benchlink} speaks the simulator's wire on standard input and output. */
+/**
+ * The command {@code benchlink}: connects the decision module to a simulator through binary frames
+ * on standard input and output.
+ */
 public final class Main {
+  private static final int BUFFER_BYTES = 1 << 16;
+
   private Main() {}
 
-  /** Ends with 0 when the input ends, 1 on a frame that cannot be read, 2 on wrong usage. */
+  /** Exits with 0 when the input ends, 1 if a frame cannot be decoded, 2 on wrong usage. */
   public static void main(String[] args) {
     if (args.length != 1 || !args[0].equals("benchlink")) {
       System.err.println("usage: java -jar umberrun.jar benchlink");
@@ -19,8 +24,8 @@
     }
     try {
       OutputStream out =
-          new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), 1 << 16);
-      new BatchLoop().run(new BufferedInputStream(System.in, 1 << 16), out);
+          new BufferedOutputStream(new FileOutputStream(FileDescriptor.out), BUFFER_BYTES);
+      new BatchLoop().run(new BufferedInputStream(System.in, BUFFER_BYTES), out);
     } catch (IOException e) {
       System.err.println("saddlestall: " + e.getMessage());
       System.exit(1);
--- a/src/main/java/saddlestall/benchlink/SettingsJson.java
+++ b/src/main/java/saddlestall/benchlink/SettingsJson.java
@@ -20,108 +20,117 @@
 import saddlestall.Dispatcher.Tenant;
 import saddlestall.Dispatcher.WeightKind;
 
-/** Reads an instance's settings from the JSON of its start message. Unknown keys are skipped. */
+/**
+ * Reads the settings of a front end from JSON. Unknown keys are ignored; an absent number is 0, an
+ * absent flag false and an absent list empty. Times in JSON are in milliseconds.
+ */
 public final class SettingsJson {
   private SettingsJson() {}
 
+  /**
+   * Parses the settings.
+   *
+   * @throws RuntimeException if the text is not JSON, or a value has another type than expected
+   */
   public static Settings read(String json) {
-    JsonObject o = JsonParser.parseString(json).getAsJsonObject();
+    JsonObject settings = JsonParser.parseString(json).getAsJsonObject();
     List<CallClass> classes = new ArrayList<>();
-    for (JsonElement e : array(o, "Classes")) {
+    for (JsonElement e : array(settings, "Classes")) {
       classes.add(callClass(e.getAsJsonObject()));
     }
     List<Tenant> tenants = new ArrayList<>();
-    for (JsonElement e : array(o, "Tenants")) {
+    for (JsonElement e : array(settings, "Tenants")) {
       tenants.add(
           new Tenant(
               number(e.getAsJsonObject(), "Fraction"), number(e.getAsJsonObject(), "QuotaPerS")));
     }
-    List<Double> memory = new ArrayList<>();
-    for (JsonElement e : array(object(o, "FamilyInfo"), "MachineMb")) {
-      memory.add(e.getAsDouble());
+    List<Double> kindMemoryMb = new ArrayList<>();
+    for (JsonElement e : array(object(settings, "FamilyInfo"), "MachineMb")) {
+      kindMemoryMb.add(e.getAsDouble());
     }
     return new Settings(
-        (int) number(o, "Index"),
-        (int) number(o, "Siblings"),
-        (int) number(o, "Zone"),
+        (int) number(settings, "Index"),
+        (int) number(settings, "Siblings"),
+        (int) number(settings, "Zone"),
         List.copyOf(classes),
         List.copyOf(tenants),
-        number(o, "OverShareWorth"),
-        text(o, "WorthBy").equals("work"),
-        text(o, "MembershipMode").equals("subscribe"),
-        weightKind(text(o, "WeightKind")),
-        List.copyOf(memory),
-        limits(object(o, "Limits")),
-        rules(object(o, "Rules")),
-        loads(object(o, "FamilyInfo")),
-        report(object(o, "Report")),
-        costs(object(o, "Costs")));
+        number(settings, "OverShareWorth"),
+        text(settings, "WorthBy").equals("work"),
+        text(settings, "MembershipMode").equals("subscribe"),
+        weightKind(text(settings, "WeightKind")),
+        List.copyOf(kindMemoryMb),
+        limits(object(settings, "Limits")),
+        rules(object(settings, "Rules")),
+        loadPolicy(object(settings, "FamilyInfo")),
+        loadReportFormat(object(settings, "Report")),
+        costs(object(settings, "Costs")));
   }
 
-  private static CallClass callClass(JsonObject c) {
-    Idempotency effect =
-        switch (text(c, "Idempotency")) {
+  private static CallClass callClass(JsonObject callClass) {
+    // An unknown word gets the strictest reading.
+    Idempotency idempotency =
+        switch (text(callClass, "Idempotency")) {
           case "idempotent" -> Idempotency.IDEMPOTENT;
           case "deduplicated" -> Idempotency.DEDUPLICATED;
-          default -> Idempotency.NOT_IDEMPOTENT; // an unknown word gets the strictest reading
+          default -> Idempotency.NOT_IDEMPOTENT;
         };
-    DedupScope group =
-        switch (text(c, "Group")) {
+    DedupScope dedupScope =
+        switch (text(callClass, "Group")) {
           case "all" -> DedupScope.ALL;
           case "zone" -> DedupScope.ZONE;
           default -> DedupScope.CELL;
         };
     return new CallClass(
-        micros(c, "Aim"),
-        number(c, "AimStretch"),
-        micros(c, "GiveUp"),
-        effect,
-        group,
-        micros(c, "DedupWindow"),
-        number(c, "Worth"),
-        number(c, "LateWorth"),
-        flag(c, "Stream"));
+        micros(callClass, "Aim"),
+        number(callClass, "AimStretch"),
+        micros(callClass, "GiveUp"),
+        idempotency,
+        dedupScope,
+        micros(callClass, "DedupWindow"),
+        number(callClass, "Worth"),
+        number(callClass, "LateWorth"),
+        flag(callClass, "Stream"));
   }
 
-  private static Limits limits(JsonObject l) {
+  private static Limits limits(JsonObject limits) {
     return new Limits(
-        flag(l, "MayCancel"),
-        flag(l, "MayDuplicate"),
-        flag(l, "MayProbe"),
-        flag(l, "Peers"),
-        flag(l, "RetryAfter"),
-        micros(l, "MaxRetryAfter"),
-        get(l, "MostTries") == null ? Integer.MAX_VALUE : (int) number(l, "MostTries"),
-        micros(l, "ConnectTimeout"));
+        flag(limits, "MayCancel"),
+        flag(limits, "MayDuplicate"),
+        flag(limits, "MayProbe"),
+        flag(limits, "Peers"),
+        flag(limits, "RetryAfter"),
+        micros(limits, "MaxRetryAfter"),
+        get(limits, "MostTries") == null ? Integer.MAX_VALUE : (int) number(limits, "MostTries"),
+        micros(limits, "ConnectTimeout"));
   }
 
-  private static Rules rules(JsonObject r) {
+  private static Rules rules(JsonObject rules) {
     return new Rules(
-        micros(r, "AnswerSlack"),
-        micros(r, "AskEvery"),
-        micros(r, "DrainGrace"),
-        micros(r, "Cold"),
-        number(r, "ColdFrom"),
-        micros(r, "Fall"),
-        number(r, "FallMultiple"));
+        micros(rules, "AnswerSlack"),
+        micros(rules, "AskEvery"),
+        micros(rules, "DrainGrace"),
+        micros(rules, "Cold"),
+        number(rules, "ColdFrom"),
+        micros(rules, "Fall"),
+        number(rules, "FallMultiple"));
   }
 
-  private static LoadPolicy loads(JsonObject f) {
+  private static LoadPolicy loadPolicy(JsonObject familyInfo) {
     return new LoadPolicy(
-        !text(f, "MissMode").equals("miss"),
-        flag(f, "MayLoad"),
-        micros(f, "LoadsWithin"),
-        number(f, "FreeLoads"),
-        number(f, "LoadsPerRequest"),
-        micros(f, "StaysLoaded"),
-        flag(f, "WarmNotes"),
-        flag(f, "CountsAlike"),
-        number(f, "IdlePrice"));
+        !text(familyInfo, "MissMode").equals("miss"),
+        flag(familyInfo, "MayLoad"),
+        micros(familyInfo, "LoadsWithin"),
+        number(familyInfo, "FreeLoads"),
+        number(familyInfo, "LoadsPerRequest"),
+        micros(familyInfo, "StaysLoaded"),
+        flag(familyInfo, "WarmNotes"),
+        flag(familyInfo, "CountsAlike"),
+        number(familyInfo, "IdlePrice"));
   }
 
-  private static LoadReportFormat report(JsonObject r) {
+  private static LoadReportFormat loadReportFormat(JsonObject report) {
     List<ReportField> fields = new ArrayList<>();
-    for (JsonElement e : array(r, "Fields")) {
+    for (JsonElement e : array(report, "Fields")) {
       fields.add(
           switch (e.getAsString()) {
             case "outstanding" -> ReportField.OUTSTANDING;
@@ -135,23 +144,23 @@
             default -> ReportField.OTHER;
           });
     }
-    ReportDelivery via =
-        switch (text(r, "Via")) {
+    ReportDelivery delivery =
+        switch (text(report, "Via")) {
           case "piggyback" -> ReportDelivery.ANSWERS;
           case "pull" -> ReportDelivery.PROBES;
           default -> ReportDelivery.NONE;
         };
-    return new LoadReportFormat(via, List.copyOf(fields));
+    return new LoadReportFormat(delivery, List.copyOf(fields));
   }
 
-  private static Costs costs(JsonObject c) {
+  private static Costs costs(JsonObject costs) {
     return new Costs(
-        number(c, "Probe"),
-        number(c, "CrossZone"),
-        number(c, "Waste"),
-        number(c, "LateFail"),
-        number(c, "Origin"),
-        number(c, "Peer"));
+        number(costs, "Probe"),
+        number(costs, "CrossZone"),
+        number(costs, "Waste"),
+        number(costs, "LateFail"),
+        number(costs, "Origin"),
+        number(costs, "Peer"));
   }
 
   private static WeightKind weightKind(String word) {
@@ -163,35 +172,37 @@
     };
   }
 
-  private static JsonElement get(JsonObject o, String key) {
-    JsonElement e = o.get(key);
-    return e == null || e.isJsonNull() ? null : e;
+  /** Returns a field, or null if it is absent or a JSON null. */
+  private static JsonElement get(JsonObject object, String key) {
+    JsonElement value = object.get(key);
+    return value == null || value.isJsonNull() ? null : value;
   }
 
-  private static JsonObject object(JsonObject o, String key) {
-    return get(o, key) instanceof JsonObject x ? x : new JsonObject();
+  private static JsonObject object(JsonObject parent, String key) {
+    return get(parent, key) instanceof JsonObject child ? child : new JsonObject();
   }
 
-  private static JsonArray array(JsonObject o, String key) {
-    return get(o, key) instanceof JsonArray x ? x : new JsonArray();
+  private static JsonArray array(JsonObject object, String key) {
+    return get(object, key) instanceof JsonArray array ? array : new JsonArray();
   }
 
-  private static double number(JsonObject o, String key) {
-    JsonElement e = get(o, key);
-    return e == null ? 0 : e.getAsDouble();
+  private static double number(JsonObject object, String key) {
+    JsonElement value = get(object, key);
+    return value == null ? 0 : value.getAsDouble();
   }
 
-  private static long micros(JsonObject o, String key) {
-    return Math.round(number(o, key) * 1000);
+  /** Returns a time in microseconds; it stands in the JSON in milliseconds. */
+  private static long micros(JsonObject object, String key) {
+    return Math.round(number(object, key) * 1000);
   }
 
-  private static boolean flag(JsonObject o, String key) {
-    JsonElement e = get(o, key);
-    return e != null && e.getAsBoolean();
+  private static boolean flag(JsonObject object, String key) {
+    JsonElement value = get(object, key);
+    return value != null && value.getAsBoolean();
   }
 
-  private static String text(JsonObject o, String key) {
-    JsonElement e = get(o, key);
-    return e == null ? "" : e.getAsString();
+  private static String text(JsonObject object, String key) {
+    JsonElement value = get(object, key);
+    return value == null ? "" : value.getAsString();
   }
 }
--- a/src/main/java/umberrun/worker/WorkerPool.java
+++ b/src/main/java/umberrun/worker/WorkerPool.java
@@ -131,8 +131,7 @@
     @Override
     public boolean mayStart(long now) {
       // The address of a worker that has left the list may belong to another worker by now. Once
-      // the lease has ended, the worker counts as draining, since discovery could not have
-      // reported a drain.
+      // the lease has ended, a drain may have gone unreported, so the worker counts as draining.
       return now < stopAt && endpoint.state() != WorkerState.GONE && now < leases.leaseUntil(id);
     }
 
@@ -142,8 +141,8 @@
     }
 
     /**
-     * Closes the connections with bytes that are not sent yet once no new work may be written:
-     * otherwise a blocked connection could deliver new work after the worker began to drain.
+     * Closes the connections with unsent bytes if no new work may be written any more: a blocked
+     * connection could otherwise deliver new work after the worker began to drain.
      */
     private void closeBlockedConnections() {
       if (!mayStart(clock.now())) {
@@ -180,7 +179,7 @@
         best = connect();
       }
       if (best == null) {
-        // No descriptor is left for the command: it did not run, and the worker is not at fault.
+        // No connection is available. The command did not run, and the worker is not at fault.
         command.onFailure(OutcomeCode.MOOT);
       } else {
         best.submit(command);
--- a/src/test/java/saddlestall/benchlink/FrameCodecTest.java
+++ b/src/test/java/saddlestall/benchlink/FrameCodecTest.java
@@ -11,54 +11,56 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import saddlestall.Dispatcher.*;
 
-/** Frames by the layout of the wire, both ways, and each kind of malformed one. */
+/** Tests the layout of frames and replies, and the rejection of malformed frames. */
 class FrameCodecTest {
-  private final List<Object> seen = new ArrayList<>();
+  /** The records of the last frame, in order. */
+  private final List<Object> records = new ArrayList<>();
 
   private final FrameCodec.Sink sink =
       new FrameCodec.Sink() {
         @Override
         public void select(int instance) {
-          seen.add("select " + instance);
+          records.add("select " + instance);
         }
 
         @Override
         public void spawn(long seed, String settings) {
-          seen.add("spawn " + seed + " " + settings);
+          records.add("spawn " + seed + " " + settings);
         }
 
         @Override
         public void killed() {
-          seen.add("killed");
+          records.add("killed");
         }
 
         @Override
         public void event(Event event) {
-          seen.add(event);
+          records.add(event);
         }
       };
 
-  /** A frame of records, each given in hex and padded, and a tail. */
+  /** Builds a frame from its tail and its records in hex; the records are padded with zeros. */
   private static byte[] frame(String tail, String... records) {
-    byte[] end = HexFormat.of().parseHex(tail.replace(" ", ""));
-    ByteBuffer b = ByteBuffer.allocate(16 + 48 * records.length + end.length);
-    b.putInt(records.length).putInt(b.capacity()).putDouble(243.4375);
+    byte[] tailBytes = HexFormat.of().parseHex(tail.replace(" ", ""));
+    ByteBuffer frame = ByteBuffer.allocate(16 + 48 * records.length + tailBytes.length);
+    frame.putInt(records.length).putInt(frame.capacity()).putDouble(243.4375);
     for (int i = 0; i < records.length; i++) {
-      b.position(16 + 48 * i).put(HexFormat.of().parseHex(records[i].replace(" ", "")));
+      frame.position(16 + 48 * i).put(HexFormat.of().parseHex(records[i].replace(" ", "")));
     }
-    b.position(16 + 48 * records.length).put(end);
-    return b.array();
+    frame.position(16 + 48 * records.length).put(tailBytes);
+    return frame.array();
   }
 
   private List<Object> read(byte[] frame) throws IOException {
-    seen.clear();
+    records.clear();
     new FrameCodec().read(FrameCodec.readFrame(new ByteArrayInputStream(frame)), sink);
-    return seen;
+    return records;
   }
 
   @Test
@@ -81,24 +83,24 @@
 
   @Test
   void readsAnOutcomeWithItsReport() throws IOException {
-    AttemptOutcome o =
+    AttemptOutcome outcome =
         (AttemptOutcome)
             read(frame(
                     "",
                     "05 5d3a91c4 00 03124a07 00 4032800000000000 01 00000011 "
                         + "03 3f1eb852 3ecccccd 3fa00000 00000000"))
                 .get(0);
-    assertEquals(OutcomeCode.OK, o.code());
-    assertEquals(18_500, o.elapsed());
-    assertTrue(o.callClosed());
-    assertEquals(CopyStatus.WARM, o.copyStatus());
-    assertEquals(2, o.concurrency());
-    assertArrayEquals(new float[] {0.62f, 0.4f, 1.25f}, o.loadReport());
+    assertEquals(OutcomeCode.OK, outcome.code());
+    assertEquals(18_500, outcome.elapsed());
+    assertTrue(outcome.callClosed());
+    assertEquals(CopyStatus.WARM, outcome.copyStatus());
+    assertEquals(2, outcome.concurrency());
+    assertArrayEquals(new float[] {0.62f, 0.4f, 1.25f}, outcome.loadReport());
   }
 
   @Test
   void readsListsByTheirNumber() throws IOException {
-    WorkerListUpdate m =
+    WorkerListUpdate update =
         (WorkerListUpdate)
             read(frame(
                     "0000 01 3f800000 0000000000000000 0000 0000 03124a07 0001 00 3fc00000 40b7d40000000000 0001 0002 2c9011f2",
@@ -111,7 +113,7 @@
             List.of(
                 new WorkerEntry(0x03124a07, 0, 0, 0, WorkerState.READY, 1, 0),
                 new WorkerEntry(0x2c9011f2, 1, 1, 2, WorkerState.GONE, 1.5, 6_100_000))),
-        m);
+        update);
     assertEquals(new WorkerListUpdate(ListKind.FAILED, List.of()), read(frame("", "02 03")).get(0));
   }
 
@@ -123,11 +125,11 @@
     assertEquals("spawn 5 hi", read(frame("6869", "01 0000000000000005 00000000 00000002")).get(0));
     assertEquals("killed", read(frame("", "0a")).get(0));
     assertEquals(new StreamStarted(1, 2, 3), read(frame("", "04 00000001 02 00000003")).get(0));
-    ProbeResult p = (ProbeResult) read(frame("", "08 4032800000000000 00000007 6e 00")).get(0);
-    assertEquals(OutcomeCode.TIMEOUT, p.code());
-    assertNull(p.loadReport());
-    PeerMessage h = (PeerMessage) read(frame("0102", "09 00000002 00000000 00000002")).get(0);
-    assertArrayEquals(new byte[] {1, 2}, h.bytes());
+    ProbeResult probe = (ProbeResult) read(frame("", "08 4032800000000000 00000007 6e 00")).get(0);
+    assertEquals(OutcomeCode.TIMEOUT, probe.code());
+    assertNull(probe.loadReport());
+    PeerMessage message = (PeerMessage) read(frame("0102", "09 00000002 00000000 00000002")).get(0);
+    assertArrayEquals(new byte[] {1, 2}, message.bytes());
   }
 
   @Test
@@ -139,29 +141,28 @@
   }
 
   @Test
-  void refusesMalformedFrames() {
-    byte[] whole = frame("", "0d 00000003");
-    assertThrows(
-        FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 30))); // truncated
-    assertThrows(
-        FrameCodec.BadFrame.class, () -> read(java.util.Arrays.copyOf(whole, 9))); // in the header
-    byte[] many = whole.clone();
-    many[3] = 9; // more records than bytes
-    assertThrows(FrameCodec.BadFrame.class, () -> read(many));
-    byte[] tiny = whole.clone();
-    tiny[7] = 3; // a length below the header's
-    assertThrows(FrameCodec.BadFrame.class, () -> read(tiny));
-    assertThrows(
-        FrameCodec.BadFrame.class,
-        () -> read(frame("", "01 0000000000000005 00000000 00000002"))); // no tail
-    assertThrows(
-        FrameCodec.BadFrame.class,
-        () -> read(frame("", "02 02 0000000000000029 0044"))); // list number
-    assertThrows(FrameCodec.BadFrame.class, () -> read(frame("", "02 07"))); // kind of list
+  void rejectsMalformedFrames() {
+    byte[] valid = frame("", "0d 00000003");
+    byte[] endsInRecord = Arrays.copyOf(valid, 30);
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(endsInRecord));
+    byte[] endsInHeader = Arrays.copyOf(valid, 9);
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(endsInHeader));
+    byte[] tooManyRecords = valid.clone();
+    tooManyRecords[3] = 9;
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(tooManyRecords));
+    byte[] shorterThanHeader = valid.clone();
+    shorterThanHeader[7] = 3;
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(shorterThanHeader));
+    byte[] missingTail = frame("", "01 0000000000000005 00000000 00000002");
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(missingTail));
+    byte[] unknownListNumber = frame("", "02 02 0000000000000029 0044");
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(unknownListNumber));
+    byte[] unknownListKind = frame("", "02 07");
+    assertThrows(FrameCodec.InvalidFrame.class, () -> read(unknownListKind));
   }
 
   @Test
-  void endOfInputBetweenFramesIsTheEnd() throws IOException {
+  void returnsNullAtTheEndOfInput() throws IOException {
     assertNull(FrameCodec.readFrame(new ByteArrayInputStream(new byte[0])));
   }
 
@@ -194,20 +195,20 @@
 
   @Test
   void settingsComeFromJson() {
-    Settings s =
+    Settings settings =
         SettingsJson.read(
             """
         {"Classes": [{"Aim": 1200.5, "GiveUp": 3000.0, "Idempotency": "deduplicated", "Group": "zone",
           "DedupWindow": 5000, "Worth": 2.0, "Name": "x", "New": {}}], "Siblings": 3, "Another": [1],
          "FamilyInfo": {"MayLoad": true, "LoadsWithin": 5000, "MissMode": "miss", "MachineMb": [1, 2]},
          "Report": {"Fields": ["utilization", "odd"], "Via": "pull"}, "Limits": {"MostTries": 5}}""");
-    assertEquals(1_200_500, s.classes().get(0).latencyTarget());
-    assertEquals(Idempotency.DEDUPLICATED, s.classes().get(0).idempotency());
-    assertEquals(DedupScope.ZONE, s.classes().get(0).dedupScope());
-    assertEquals(5_000_000, s.loadPolicy().preloadWindow());
-    assertTrue(s.loadPolicy().mayPreload() && !s.loadPolicy().loadsOnMiss());
+    assertEquals(1_200_500, settings.classes().get(0).latencyTarget());
+    assertEquals(Idempotency.DEDUPLICATED, settings.classes().get(0).idempotency());
+    assertEquals(DedupScope.ZONE, settings.classes().get(0).dedupScope());
+    assertEquals(5_000_000, settings.loadPolicy().preloadWindow());
+    assertTrue(settings.loadPolicy().mayPreload() && !settings.loadPolicy().loadsOnMiss());
     assertEquals(
-        List.of(ReportField.UTILIZATION, ReportField.OTHER), s.loadReportFormat().fields());
-    assertEquals(ReportDelivery.PROBES, s.loadReportFormat().delivery());
+        List.of(ReportField.UTILIZATION, ReportField.OTHER), settings.loadReportFormat().fields());
+    assertEquals(ReportDelivery.PROBES, settings.loadReportFormat().delivery());
   }
 }
--- a/src/test/java/umberrun/Relay.java
+++ b/src/test/java/umberrun/Relay.java
@@ -9,19 +9,21 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.util.Arrays;
 import java.util.Random;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
 /**
- * The way from one process to another, for datagrams and connections: both at one port of its own.
- * Datagrams may be lost, late, doubled or cut off; what is cut off on a connection is swallowed, as
- * by a network that says nothing.
+ * Forwards UDP datagrams and TCP connections from a port of its own to a port of a process under
+ * test, and injects network faults. Datagrams can be lost, delayed, duplicated or dropped
+ * altogether. Bytes of a connection that is cut are discarded while the connection stays open, as
+ * on a network that drops packets silently.
  */
 final class Relay implements AutoCloseable {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-  private static final ScheduledExecutorService LATER =
+  private static final ScheduledExecutorService DELAYED_SENDS =
       Executors.newScheduledThreadPool(
           1,
           r -> {
@@ -30,38 +32,48 @@
             return t;
           });
 
-  private final int to;
-  private final ServerSocket connections;
-  private final DatagramSocket datagrams;
+  private final int targetPort;
+  private final ServerSocket serverSocket;
+  private final DatagramSocket datagramSocket;
   private final Random random = new Random(1);
 
-  /** Nothing passes this way, or back on its connections. */
+  /** Whether all datagrams and all bytes sent to the target are dropped. */
   volatile boolean cut;
 
+  /** Whether all bytes that the target sends back on its connections are dropped. */
   volatile boolean cutBack;
+
+  /** The probability that a datagram is lost. */
   volatile double loss;
+
+  /** The probability that a datagram is duplicated. */
   volatile double doubled;
+
+  /** The upper bound of the random delay of a datagram, in milliseconds; 0 for none. */
   volatile long delayMillis;
 
-  Relay(int to) throws IOException {
-    this.to = to;
-    this.connections = new ServerSocket(0, 50, LOOPBACK);
-    this.datagrams =
-        new DatagramSocket(new InetSocketAddress(LOOPBACK, connections.getLocalPort()));
-    Scenario.daemon(this::passDatagrams);
+  /** Starts to forward to a port on the loopback address. */
+  Relay(int targetPort) throws IOException {
+    this.targetPort = targetPort;
+    this.serverSocket = new ServerSocket(0, 50, LOOPBACK);
+    this.datagramSocket =
+        new DatagramSocket(new InetSocketAddress(LOOPBACK, serverSocket.getLocalPort()));
+    Scenario.daemon(this::forwardDatagrams);
     Scenario.daemon(
         () -> {
           while (true) {
-            Socket from = connections.accept();
-            Scenario.daemon(() -> connect(from));
+            Socket client = serverSocket.accept();
+            Scenario.daemon(() -> forwardConnection(client));
           }
         });
   }
 
+  /** Returns the port of this relay, for datagrams and connections alike. */
   int port() {
-    return connections.getLocalPort();
+    return serverSocket.getLocalPort();
   }
 
+  /** Ends all faults. */
   void heal() {
     cut = false;
     cutBack = false;
@@ -70,53 +82,53 @@
     delayMillis = 0;
   }
 
-  private void passDatagrams() throws IOException {
+  private void forwardDatagrams() throws IOException {
     byte[] buffer = new byte[2_048];
     while (true) {
       DatagramPacket in = new DatagramPacket(buffer, buffer.length);
-      datagrams.receive(in);
+      datagramSocket.receive(in);
       if (cut || random.nextDouble() < loss) {
         continue;
       }
-      byte[] bytes = java.util.Arrays.copyOf(buffer, in.getLength());
+      byte[] bytes = Arrays.copyOf(buffer, in.getLength());
       int copies = random.nextDouble() < doubled ? 2 : 1;
       for (int i = 0; i < copies; i++) {
-        long wait = delayMillis == 0 ? 0 : random.nextInt((int) delayMillis);
-        LATER.schedule(
+        long delay = delayMillis == 0 ? 0 : random.nextInt((int) delayMillis);
+        DELAYED_SENDS.schedule(
             () -> {
               try {
-                datagrams.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, to));
+                datagramSocket.send(new DatagramPacket(bytes, bytes.length, LOOPBACK, targetPort));
               } catch (IOException e) {
-                // nobody listens there now
+                // The target is not listening, so the datagram is lost.
               }
             },
-            wait,
+            delay,
             TimeUnit.MILLISECONDS);
       }
     }
   }
 
-  private void connect(Socket from) throws IOException {
-    try (Socket other = new Socket(LOOPBACK, to)) {
-      Thread back = Scenario.daemon(() -> pass(other, from, false));
-      pass(from, other, true);
-      back.join();
+  private void forwardConnection(Socket client) throws IOException {
+    try (Socket target = new Socket(LOOPBACK, targetPort)) {
+      Thread backward = Scenario.daemon(() -> copyBytes(target, client, false));
+      copyBytes(client, target, true);
+      backward.join();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      from.close();
+      client.close();
     }
   }
 
-  private void pass(Socket from, Socket to, boolean there) throws IOException {
+  private void copyBytes(Socket from, Socket to, boolean towardsTarget) throws IOException {
     byte[] buffer = new byte[8_192];
     try (from;
         to) {
       InputStream in = from.getInputStream();
       OutputStream out = to.getOutputStream();
-      for (int n; (n = in.read(buffer)) >= 0; ) {
-        if (!(there ? cut : cutBack)) {
-          out.write(buffer, 0, n);
+      for (int count; (count = in.read(buffer)) >= 0; ) {
+        if (!(towardsTarget ? cut : cutBack)) {
+          out.write(buffer, 0, count);
         }
       }
     }
@@ -124,7 +136,7 @@
 
   @Override
   public void close() throws IOException {
-    connections.close();
-    datagrams.close();
+    serverSocket.close();
+    datagramSocket.close();
   }
 }
