--- a/src/main/java/umberrun/core/Attempt.java
+++ b/src/main/java/umberrun/core/Attempt.java
@@ -5,20 +5,20 @@
 import saddlestall.Dispatcher.OutcomeCode;
 import umberrun.core.WorkerTransport.AttemptResult;
 
-/** One send of a call to one worker; ends once. */
+/** One transmission of a call to one worker. It completes exactly once. */
 public final class Attempt {
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   final Call call;
   final int index;
   private final int worker;
   final long sentAt;
   private final long deadline;
 
-  /** How it ended, or null while it is out. */
-  private OutcomeCode complete;
+  /** The outcome, or null while the attempt is in flight. */
+  private OutcomeCode outcome;
 
-  Attempt(DispatchLoop owner, Call call, int index, int worker, long sentAt, long deadline) {
-    this.owner = owner;
+  Attempt(DispatchLoop dispatchLoop, Call call, int index, int worker, long sentAt, long deadline) {
+    this.dispatchLoop = dispatchLoop;
     this.call = call;
     this.index = index;
     this.worker = worker;
@@ -26,44 +26,53 @@
     this.deadline = deadline;
   }
 
+  /** The number of the worker that this attempt goes to. */
   public int worker() {
     return worker;
   }
 
+  /** The request that this attempt carries. */
   public Request request() {
     return call.request;
   }
 
-  /** When waiting for it ends, on the owner's clock. */
+  /** When this attempt times out, in Unix microseconds of the dispatch loop's {@link Clock}. */
   public long deadline() {
     return deadline;
   }
 
   /**
-   * Guards against a second end of the same attempt: an answer that crosses a time-out or a reset.
+   * Completes the attempt. Only the first result counts: a response may cross a timeout or a reset
+   * of the connection.
    */
-  public void complete(AttemptResult ending) {
-    if (complete == null) {
-      complete = ending.code();
-      owner.post(() -> owner.attemptEnded(this, ending));
+  public void complete(AttemptResult result) {
+    if (outcome == null) {
+      outcome = result.code();
+      dispatchLoop.post(() -> dispatchLoop.attemptEnded(this, result));
     }
   }
 
   /**
-   * Whether it may still be written, asked in that instant: it may have waited for a connection.
-   * Guards the caller who has gone or has the answer by now, and rule 2: what may have run before
-   * allows a repeat only for so long.
+   * Whether the attempt may still be written to its worker at time {@code now}; checked just before
+   * the write, as the attempt may have waited for a connection.
+   *
+   * <p>It may not once the client has gone or has its answer. A call must not take effect twice, so
+   * unless its class is idempotent it also may not while another attempt may have run and was sent
+   * longer ago than the deduplication window, which is zero for classes without deduplication.
    */
   public boolean isWanted(long now) {
-    CallClass kind = owner.settings().classes().get(call.request.callClass());
-    long window = kind.idempotency() == Idempotency.DEDUPLICATED ? kind.dedupWindow() : 0;
+    CallClass callClass = dispatchLoop.settings().classes().get(call.request.callClass());
+    long dedupWindow =
+        callClass.idempotency() == Idempotency.DEDUPLICATED ? callClass.dedupWindow() : 0;
     return call.isAwaited()
-        && (kind.idempotency() == Idempotency.IDEMPOTENT
+        && (callClass.idempotency() == Idempotency.IDEMPOTENT
             || call.attempts.stream()
-                .noneMatch(a -> a != this && a.mayHaveRun() && now - a.sentAt >= window));
+                .noneMatch(
+                    other ->
+                        other != this && other.mayHaveRun() && now - other.sentAt >= dedupWindow));
   }
 
   private boolean mayHaveRun() {
-    return complete == null || !complete.notRun;
+    return outcome == null || !outcome.notRun;
   }
 }
--- a/src/main/java/umberrun/core/BoundedMap.java
+++ b/src/main/java/umberrun/core/BoundedMap.java
@@ -3,22 +3,26 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A map of so many entries at the most; guards the memory on long days. */
+/**
+ * A map that evicts its eldest entry beyond a fixed size, so that memory use stays bounded however
+ * long the process runs.
+ */
 final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
   private static final long serialVersionUID = 1;
 
-  private final int most;
+  private final int maxEntries;
 
   /**
-   * @param byUse forgets the entry that was not asked for longest, else the one that came first
+   * @param maxEntries how many entries are kept
+   * @param byAccess whether the least recently accessed entry is evicted, rather than the oldest
    */
-  BoundedMap(int most, boolean byUse) {
-    super(64, 0.75f, byUse);
-    this.most = most;
+  BoundedMap(int maxEntries, boolean byAccess) {
+    super(64, 0.75f, byAccess);
+    this.maxEntries = maxEntries;
   }
 
   @Override
   protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-    return size() > most;
+    return size() > maxEntries;
   }
 }
--- a/src/main/java/umberrun/core/Call.java
+++ b/src/main/java/umberrun/core/Call.java
@@ -3,59 +3,66 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A call from the moment it is taken to its one final answer. */
+/**
+ * A call from its acceptance to its one final answer. Times are Unix microseconds of the dispatch
+ * loop's {@link Clock}.
+ */
 public final class Call {
   final int id;
   final Request request;
   final Reply reply;
   final long deadline;
 
-  /** How long before that its answer leaves at the latest. */
-  final long early;
+  /** How long before {@code deadline} the answer leaves at the latest, in microseconds. */
+  final long answerMargin;
 
   final List<Attempt> attempts = new ArrayList<>(1);
 
-  /** The module's timers of this call and the last guard, cancelled when it is over. */
+  /**
+   * The dispatcher's timers of this call and the deadline guard; cancelled when the call is over.
+   */
   final List<Long> timers = new ArrayList<>(2);
 
   /**
-   * Whether an attempt may have had its effect: one is out, or ended without proof that it never
-   * ran.
+   * Whether an attempt that has ended may have taken effect, as nothing proves that it never ran.
    */
   boolean mayHaveRun;
 
-  int out;
+  /** Attempts that have been sent and have not ended. */
+  int attemptsInFlight;
+
+  /** Whether the call has ended; see {@link #isOver()}. */
   boolean isOver;
 
   /**
-   * Whether its caller has gone: said at once, while the owner's queue may take longer to get
-   * there.
+   * Whether the client has gone. Set at once, as the queue of the dispatch loop may take longer to
+   * get to it.
    */
-  private boolean left;
+  private boolean clientGone;
 
-  Call(int id, Request request, Reply reply, long deadline, long early) {
+  Call(int id, Request request, Reply reply, long deadline, long answerMargin) {
     this.id = id;
     this.request = request;
     this.reply = reply;
     this.deadline = deadline;
-    this.early = early;
+    this.answerMargin = answerMargin;
   }
 
-  /** Whether the one answer was given, or is no longer owed. */
+  /** Whether the call has its final answer, or nobody needs one any more. */
   public boolean isOver() {
     return isOver;
   }
 
   /**
-   * Says whether anybody waits for the answer; while nobody does, what is out may end, but nothing
-   * more is sent.
+   * Sets whether a client waits for the answer. While none does, attempts in flight may finish, but
+   * nothing more is sent.
    */
-  void attended(boolean attended) {
-    left = !attended;
+  void setClientWaiting(boolean waiting) {
+    clientGone = !waiting;
   }
 
-  /** Whether something may still be sent for it. */
+  /** Whether an attempt may still be sent for this call. */
   boolean isAwaited() {
-    return !isOver && !left;
+    return !isOver && !clientGone;
   }
 }
--- a/src/main/java/umberrun/core/DiscoveryMonitor.java
+++ b/src/main/java/umberrun/core/DiscoveryMonitor.java
@@ -15,63 +15,69 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Carries out what the leases of workers call for: looks at them while discovery is out of reach,
- * and says in the log who is held back, since when and why. Sources of the list tell it of each
- * contact; called on the owner's thread only.
+ * Applies {@link WorkerLeases}: reviews the leases while discovery is unreachable, has expiring
+ * ones renewed, and logs which workers are held back, since when and why. The sources of the worker
+ * list report each contact with discovery here. Called on the thread of the dispatch loop only.
  */
 public final class DiscoveryMonitor {
-  /** What a change of leases is told to. */
+  /** The listed workers, and the receiver of lease changes. */
   interface WorkerDirectory {
+    /** The numbers of all listed workers. */
     Iterable<Integer> workers();
 
+    /** The name of a listed worker. */
     String name(int worker);
 
-    /** Whether the list says that a worker is ready. */
+    /** Whether the list has the worker as ready. */
     boolean isListedReady(int worker);
 
-    /** What holds for these workers has changed. */
-    void restate(Collection<Integer> workers);
+    /** The effective state of these workers has changed. */
+    void onStateChanged(Collection<Integer> workers);
 
     /**
-     * Work is wanted at these workers, the most urgent first; so many of them need it very soon.
+     * Leases of these workers expire soon unless they accept work.
+     *
+     * @param workers the numbers of the workers, the shortest lease first
+     * @param urgent how many of them, from the first on, need work very soon
      */
-    void renew(List<Integer> workers, int urgent);
+    void requestRenewal(List<Integer> workers, int urgent);
   }
 
-  /** Workers named in one line of the log at the most. */
-  private static final int MOST_NAMED = 12;
+  /** The number of workers named in one log line. */
+  private static final int MAX_NAMED_WORKERS = 12;
 
   private final Vertx vertx;
   private final Clock clock;
   private final Counters counters;
   private final Consumer<String> log;
-  private final Consumer<Runnable> queue;
-  private final WorkerDirectory table;
+  private final Consumer<Runnable> eventQueue;
+  private final WorkerDirectory directory;
   private final DiscoveryContact contact;
   private final WorkerLeases leases;
-  private long startedWith;
-  private boolean away;
+  private long initialResponseAt;
+  private boolean unreachable;
 
   /**
-   * @param queue carries out a step in its turn, behind the news of the list that came before it
-   * @param grace how long new work may go to a worker after its drain counts as told
-   * @param salt another one at each front end
+   * @param eventQueue runs a step in its turn, after the list updates that were queued before it
+   * @param grace how long new work may go to a worker after its drain counts as reported, in
+   *     microseconds
+   * @param salt a value that differs between front ends
    */
   DiscoveryMonitor(
       Vertx vertx,
       Clock clock,
       Counters counters,
       Consumer<String> log,
-      Consumer<Runnable> queue,
+      Consumer<Runnable> eventQueue,
       long grace,
       int salt,
-      WorkerDirectory table) {
+      WorkerDirectory directory) {
     this.vertx = vertx;
     this.clock = clock;
     this.counters = counters;
     this.log = log;
-    this.queue = queue;
-    this.table = table;
+    this.eventQueue = eventQueue;
+    this.directory = directory;
     this.contact = new DiscoveryContact(grace);
     this.leases = new WorkerLeases(contact, salt);
   }
@@ -80,131 +86,145 @@
     return leases;
   }
 
-  /** The list comes from discovery from now on; what is known of it was so at {@code knownAt}. */
+  /**
+   * Starts to follow discovery as the source of the worker list.
+   *
+   * @param knownAt as of when the list that is known already was right, in Unix microseconds
+   */
   public void follow(long knownAt) {
     contact.follow(knownAt, clock.now());
-    startedWith = contact.lastResponseAt();
-    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL / 1_000, t -> beat());
+    initialResponseAt = contact.lastResponseAt();
+    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL / 1_000, t -> reviewAndReschedule());
   }
 
-  private void beat() {
-    queue.accept(this::review);
-    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL / 1_000, t -> beat());
+  private void reviewAndReschedule() {
+    eventQueue.accept(this::review);
+    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL / 1_000, t -> reviewAndReschedule());
   }
 
   /**
-   * Discovery answered in full what it was asked at {@code askedAt}, and all that it told was
-   * handed over.
+   * Discovery has answered a request in full, and the whole response has been handed on.
+   *
+   * @param askedAt when the request was made, in Unix microseconds
    */
   public void onResponse(long askedAt) {
-    queue.accept(
+    eventQueue.accept(
         () -> {
           contact.recordResponse(askedAt);
           review();
         });
   }
 
-  /** Discovery answers elsewhere from now on, as was told at {@code at}. */
+  /**
+   * The configuration has named another discovery server.
+   *
+   * @param at when, in Unix microseconds
+   */
   public void onServerMoved(long at) {
-    queue.accept(() -> contact.recordServerMove(at));
+    eventQueue.accept(() -> contact.recordServerMove(at));
   }
 
-  /** Discovery had begun an answer that did not come to its end. */
+  /** A response of discovery was cut off before its end. */
   public void onResponseAborted() {
     long at = clock.now();
-    queue.accept(() -> contact.recordAbortedResponse(at));
+    eventQueue.accept(() -> contact.recordAbortedResponse(at));
   }
 
   /**
-   * What is left of the leases, by name, for a process that takes over; null while there is no
-   * discovery to lose. Not of a worker that the list drains: the other process may not know.
+   * The remaining time of the leases in microseconds, by worker name, for a process that takes
+   * over; null where no discovery is followed. Leaves out workers that the list drains, as the
+   * other process may not know of the drain.
    */
   Map<String, Long> remainingLeases() {
     if (!contact.isFollowed()) {
       return null;
     }
-    Map<String, Long> named = new TreeMap<>();
+    Map<String, Long> byName = new TreeMap<>();
     leases
-        .remaining(clock.now(), table.workers())
+        .remaining(clock.now(), directory.workers())
         .forEach(
-            (worker, left) -> {
-              if (table.isListedReady(worker)) {
-                named.put(table.name(worker), left);
+            (worker, remaining) -> {
+              if (directory.isListedReady(worker)) {
+                byName.put(directory.name(worker), remaining);
               }
             });
-    return named;
+    return byName;
   }
 
   /**
-   * Goes on with the leases of the process that this one replaces, as they stood {@code age} ago.
+   * Takes over the leases of the process that this one replaces.
+   *
+   * @param remaining the remaining time of the leases in microseconds, by worker number
+   * @param age how long ago {@code remaining} was recorded, in microseconds
    */
-  void takeOver(Map<Integer, Long> left, long age) {
-    leases.takeOver(left, clock.now() - age, startedWith);
+  void takeOver(Map<Integer, Long> remaining, long age) {
+    leases.takeOver(remaining, clock.now() - age, initialResponseAt);
     review();
   }
 
   private void review() {
     long now = clock.now();
-    sayWhetherAway(now);
-    Review review = leases.review(now, table.workers());
+    logReachability(now);
+    Review review = leases.review(now, directory.workers());
     if (!review.isEmpty()) {
-      sayWhoIsHeldBack(review, now);
+      logLeaseChanges(review, now);
       List<Integer> changed = new ArrayList<>(review.heldBack());
       changed.addAll(review.released());
       changed.addAll(review.restarted());
-      table.restate(changed);
+      directory.onStateChanged(changed);
     }
     if (!review.expiring().isEmpty()) {
-      table.renew(review.expiring().stream().map(ExpiringLease::worker).toList(), review.urgent());
+      directory.requestRenewal(
+          review.expiring().stream().map(ExpiringLease::worker).toList(), review.urgent());
     }
   }
 
-  private void sayWhetherAway(long now) {
-    if (away == contact.isUnreachable(now)) {
+  private void logReachability(long now) {
+    if (unreachable == contact.isUnreachable(now)) {
       return;
     }
-    away = !away;
-    if (away) {
+    unreachable = !unreachable;
+    if (unreachable) {
       counters.add(Count.DISCOVERY_LOST);
-      log.accept("discovery: out of reach, last heard " + lastHeard(now));
+      log.accept("discovery: out of reach, last heard " + formatLastResponse(now));
     } else {
       log.accept("discovery: heard again, " + leases.heldBackCount() + " workers were held back");
     }
   }
 
-  private void sayWhoIsHeldBack(Review review, long now) {
-    review.heldBack().forEach(w -> counters.add(Count.WORKERS_HELD_BACK));
-    review.released().forEach(w -> counters.add(Count.WORKERS_RELEASED));
+  private void logLeaseChanges(Review review, long now) {
+    review.heldBack().forEach(worker -> counters.add(Count.WORKERS_HELD_BACK));
+    review.released().forEach(worker -> counters.add(Count.WORKERS_RELEASED));
     if (!review.heldBack().isEmpty()) {
       log.accept(
           "held back, as discovery was last heard "
-              + lastHeard(now)
+              + formatLastResponse(now)
               + " and they took on no work since: "
-              + names(review.heldBack()));
+              + formatNames(review.heldBack()));
     }
     if (!review.released().isEmpty()) {
       log.accept(
-          (away
+          (unreachable
                   ? "took on work, no longer held back: "
-                  : "discovery is heard, no longer held back: ")
-              + names(review.released()));
+                  : "discovery answers again, no longer held back: ")
+              + formatNames(review.released()));
     }
     if (!review.restarted().isEmpty()) {
       log.accept(
-          "started anew as far as can be told without discovery, or no longer so: "
-              + names(review.restarted()));
+          "restart inferred without discovery, or inference withdrawn: "
+              + formatNames(review.restarted()));
     }
   }
 
-  private String names(List<Integer> workers) {
-    List<String> named = workers.stream().limit(MOST_NAMED).map(table::name).toList();
-    int more = workers.size() - named.size();
-    return String.join(", ", named) + (more > 0 ? " and " + more + " more" : "");
+  private String formatNames(List<Integer> workers) {
+    List<String> shown = workers.stream().limit(MAX_NAMED_WORKERS).map(directory::name).toList();
+    int more = workers.size() - shown.size();
+    return String.join(", ", shown) + (more > 0 ? " and " + more + " more" : "");
   }
 
-  private String lastHeard(long now) {
+  private String formatLastResponse(long now) {
     return contact.hasResponded()
         ? (now - contact.lastResponseAt()) / 1_000 + " ms ago"
-        : "by the process before this one";
+        : "by the previous process";
   }
 }
--- a/src/main/java/umberrun/core/DispatchLoop.java
+++ b/src/main/java/umberrun/core/DispatchLoop.java
@@ -54,44 +54,52 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * The one task that owns the decision module. Whatever happens on a socket comes in through {@link
- * #post}; the queue is worked off in order on one Vert.x context, each event is handed to the
- * module with a clock that never goes back, and the actions it answers with are carried out in the
- * order given.
+ * The event loop around the decision module ({@link Dispatcher}). Whatever happens on a socket is
+ * queued by {@link #post}; the queue is processed in order on one Vert.x context. Each event is
+ * passed to the dispatcher with a clock that never goes back, and the actions that it returns are
+ * executed in their order.
+ *
+ * <p>Times are Unix microseconds of {@link Clock} unless a name says otherwise.
  */
 public final class DispatchLoop implements WorkerLeaseView {
   /**
-   * Answers leave this much before the client's time is up: a pause of this machine must not make
-   * them late.
+   * Answers leave this long before the client's deadline, so that a pause of this process does not
+   * make them late.
    */
-  private static final long ANSWER_EARLY = 30_000;
+  private static final long ANSWER_MARGIN_MICROS = 30_000;
 
   /**
-   * But no larger part of that time is given away: some clients wait for little longer than the
-   * work takes.
+   * The margin is at most the client's budget divided by this, as some clients wait for little
+   * longer than the work takes.
    */
-  private static final long EARLY_PART = 20;
+  private static final long ANSWER_MARGIN_DIVISOR = 20;
 
   /**
-   * Calls in hand, and bytes of their bodies, beyond which a call is refused unseen: the memory is
+   * Calls in flight beyond which a call is refused without asking the dispatcher, as memory is
    * small.
    */
-  private static final int MOST_CALLS = 4_096;
+  private static final int MAX_CALLS_IN_FLIGHT = 4_096;
 
-  private static final long MOST_BYTES = 12 << 20;
+  /** The same for the total size of their bodies. */
+  private static final long MAX_BODY_BYTES_IN_FLIGHT = 12 << 20;
 
-  /** Spellings of functions kept to write orders with; the module forgets functions sooner. */
-  private static final int MOST_FUNCTIONS = 16_384;
+  /**
+   * Names of functions that are kept to write preload requests with; the dispatcher forgets
+   * functions sooner.
+   */
+  private static final int MAX_FUNCTION_NAMES = 16_384;
 
-  /** Origins of facts that a hall's prober found. */
+  /** Prefix of the origin of facts that the health prober of a hall found. */
   public static final String PROBER_ORIGIN_PREFIX = "probe/";
 
-  private static final long GUARD_BACKOFF_MILLIS = 250;
+  /** After how long a client may retry a call that was refused without asking the dispatcher. */
+  private static final long OVERLOAD_BACKOFF_MILLIS = 250;
 
-  /** A machine later than this takes nothing new: what it takes it could not answer in time. */
-  private static final long MOST_LAG = 150_000;
+  /** With a larger lag no calls are accepted, as they could not be answered in time. */
+  private static final long MAX_LAG_MICROS = 150_000;
 
-  private static final long LITTLE_LAG = 50_000;
+  /** With a larger lag, pending socket input is read before calls are started. */
+  private static final long LOW_LAG_MICROS = 50_000;
 
   private final Vertx vertx;
   private final Context context;
@@ -99,40 +107,47 @@
   private final Counters counters;
   private final Settings settings;
   private final Consumer<String> log;
-  private final Dispatcher module;
-  private final WorkerTransport workers;
+  private final Dispatcher dispatcher;
+  private final WorkerTransport transport;
   private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
   private final ArrayDeque<Action> actions = new ArrayDeque<>();
   private final Map<Integer, Call> calls = new HashMap<>();
 
-  /** The ids of calls in hand, also of those given up whose attempts are still out. */
-  private final Set<Buffer> rids = new HashSet<>();
+  /**
+   * The request ids of calls in flight, including calls that are over but have attempts in flight.
+   */
+  private final Set<Buffer> requestIdsInFlight = new HashSet<>();
 
   private final LagMeter lag;
-  private final WorkerTable roster = new WorkerTable();
-  private final WorkerSuspensions bans;
+  private final WorkerTable workerTable = new WorkerTable();
+  private final WorkerSuspensions suspensions;
   private final DiscoveryMonitor discovery;
-  private final FactTranslator hearsay;
-  private final Map<Long, Buffer> functions = new BoundedMap<>(MOST_FUNCTIONS, true);
+  private final FactTranslator factTranslator;
+  private final Map<Long, Buffer> functionNames = new BoundedMap<>(MAX_FUNCTION_NAMES, true);
+
+  /** Attempts and preload requests in flight, by worker number. */
+  private final Map<Integer, Integer> inFlight = new HashMap<>();
 
-  /** Attempts and orders that are out, by worker. */
-  private final Map<Integer, Integer> out = new HashMap<>();
+  /** Names of workers that a hall's health prober reports as failing. */
+  private final Set<String> reportedFailing = new HashSet<>();
 
-  /** Workers that a prober of their hall says do not answer. */
-  private final Set<String> toldFailing = new HashSet<>();
+  /** Total size of the bodies of {@link #calls}. */
+  private long bodyBytesInFlight;
 
-  private long bytesInHand;
+  /** Number of calls without an answer. */
+  private int unansweredCalls;
 
-  /** Calls that have no answer yet. */
-  private int owed;
+  private int nextCallId = 1;
 
-  private int nextCall = 1;
+  /** Whether a run of the queue is scheduled. */
   private boolean scheduled;
+
+  /** Runs once no call is unanswered; null if nothing waits for that. */
   private Runnable whenIdle;
 
   /**
-   * @param module makes the module, given where its first actions go
-   * @param workers makes the way to the workers, given this owner
+   * @param dispatcherFactory creates the dispatcher, given the consumer of its first actions
+   * @param transportFactory creates the transport to the workers, given this loop
    */
   public DispatchLoop(
       Vertx vertx,
@@ -141,8 +156,8 @@
       Counters counters,
       Settings settings,
       Consumer<String> log,
-      Function<Consumer<Action>, Dispatcher> module,
-      Function<DispatchLoop, WorkerTransport> workers) {
+      Function<Consumer<Action>, Dispatcher> dispatcherFactory,
+      Function<DispatchLoop, WorkerTransport> transportFactory) {
     this.vertx = vertx;
     this.context = context;
     this.clock = clock;
@@ -150,8 +165,8 @@
     this.settings = settings;
     this.log = log;
     this.lag = new LagMeter(vertx, clock);
-    this.hearsay = new FactTranslator(settings);
-    this.bans = new WorkerSuspensions(settings.rules().drainGrace());
+    this.factTranslator = new FactTranslator(settings);
+    this.suspensions = new WorkerSuspensions(settings.rules().drainGrace());
     this.discovery =
         new DiscoveryMonitor(
             vertx,
@@ -159,29 +174,30 @@
             counters,
             log,
             this::post,
-            bans.grace(),
-            hearsay.origin().hashCode(),
-            new Leased());
-    this.workers = workers.apply(this);
-    this.module = module.apply(actions::add);
-    post(this::carryOut);
+            suspensions.usableGrace(),
+            factTranslator.origin().hashCode(),
+            new LeaseDirectory());
+    this.transport = transportFactory.apply(this);
+    this.dispatcher = dispatcherFactory.apply(actions::add);
+    post(this::execute);
   }
 
+  /** The settings of the dispatcher. */
   public Settings settings() {
     return settings;
   }
 
-  /** Whether this machine keeps up, so that what it takes it can answer in time. */
+  /** Whether this process keeps up, so that it can answer in time the calls that it accepts. */
   public boolean isKeepingUp() {
-    return lag.lag() <= MOST_LAG;
+    return lag.lag() <= MAX_LAG_MICROS;
   }
 
-  /** How late this machine is, in microseconds. */
+  /** How late this process runs, in microseconds; see {@link LagMeter}. */
   public long lag() {
     return lag.lag();
   }
 
-  /** What sources of the list tell of their contact with it. */
+  /** Receives the reports of the worker list sources about their contact with discovery. */
   public DiscoveryMonitor discovery() {
     return discovery;
   }
@@ -196,16 +212,16 @@
     discovery.leases().recordConnectionRefused(worker, clock.now());
   }
 
-  // ---------------------------------------------------------------- the queue
+  // ---------------------------------------------------------------- event queue
 
-  /** Queues a step; callable on the context's thread only, as all sockets live there. */
+  /** Queues a step. To be called on the thread of the context only, which also runs all sockets. */
   public void post(Runnable step) {
     queue.add(step);
     schedule();
   }
 
-  /** Carries a step out in its turn; what it gives, once that is done. */
-  private <T> Future<T> inTurn(Supplier<T> step) {
+  /** Queues a step; the future completes with its result. */
+  private <T> Future<T> supplyInTurn(Supplier<T> step) {
     Promise<T> done = Promise.promise();
     post(() -> done.complete(step.get()));
     return done.future();
@@ -214,30 +230,32 @@
   private void schedule() {
     if (!queue.isEmpty() && !scheduled) {
       scheduled = true;
-      onceRead(() -> context.runOnContext(v -> work()));
+      afterSocketReads(() -> context.runOnContext(v -> runQueuedSteps()));
     }
   }
 
   /**
-   * A late machine reads on first: guards callers who have gone, as what they said behind their
-   * calls lies unread by now.
+   * Runs a step at once, or, if this process is late, after pending socket input was read.
+   * Otherwise calls would be started whose clients have already gone, as their cancellation lies
+   * unread behind the call.
    */
-  private void onceRead(Runnable step) {
-    if (lag.lag() <= LITTLE_LAG) {
+  private void afterSocketReads(Runnable step) {
+    if (lag.lag() <= LOW_LAG_MICROS) {
       step.run();
-    } else { // a timer that a task sets is due after the next look at the sockets
+    } else {
+      // A timer that is set by a task fires after the event loop has polled the sockets.
       context.runOnContext(v -> vertx.setTimer(1, t -> step.run()));
     }
   }
 
-  private void work() {
+  private void runQueuedSteps() {
     scheduled = false;
-    for (int n = queue.size();
-        n > 0;
-        n--) { // what is queued meanwhile waits, so that sockets get their turn
+    // Steps queued meanwhile wait for the next run, so that the sockets get their turn.
+    for (int n = queue.size(); n > 0; n--) {
       try {
         queue.poll().run();
-      } catch (RuntimeException e) { // guards against a fault in one step ending all calls
+      } catch (RuntimeException e) {
+        // A fault in one step must not end all calls.
         counters.add(Count.MODULE_FAULTS);
         log.accept(
             "fault: " + e + " at " + (e.getStackTrace().length > 0 ? e.getStackTrace()[0] : "?"));
@@ -246,21 +264,21 @@
     schedule();
   }
 
-  private void tell(Event event) {
+  private void dispatch(Event event) {
     try {
-      module.handle(clock.now(), event, actions::add);
+      dispatcher.handle(clock.now(), event, actions::add);
     } finally {
-      carryOut();
+      execute();
     }
   }
 
-  private void carryOut() {
+  private void execute() {
     for (Action a; (a = actions.poll()) != null; ) {
-      carryOut(a);
+      execute(a);
     }
   }
 
-  private void carryOut(Action action) {
+  private void execute(Action action) {
     if (action instanceof Send a) {
       send(a);
     } else if (action instanceof Refuse a) {
@@ -272,116 +290,121 @@
     } else if (action instanceof Preload a) {
       counters.add(Count.ORDERS_SENT);
       discovery.leases().recordRenewalAttempt(a.worker(), clock.now());
-      out.merge(a.worker(), 1, Integer::sum);
-      workers.preload(
+      inFlight.merge(a.worker(), 1, Integer::sum);
+      transport.preload(
           new PreloadRequest(
-              this, a.worker(), a.function(), spelling(a.function()), a.copies(), clock.now()));
+              this, a.worker(), a.function(), functionName(a.function()), a.copies(), clock.now()));
     } else if (action instanceof Unload a) {
-      workers.unload(a.worker(), spelling(a.function()));
+      transport.unload(a.worker(), functionName(a.function()));
     } else if (action instanceof Cancel a) {
       cancel(calls.get(a.call()), a.attempt());
     } else if (action instanceof Probe a) {
       counters.add(Count.PROBES_SENT);
-      workers.probe(new WorkerProbe(this, a.worker(), clock.now()));
+      transport.probe(new WorkerProbe(this, a.worker(), clock.now()));
     } else if (action instanceof CloseIdleConnections a) {
-      workers.closeIdle(a.worker());
+      transport.closeIdle(a.worker());
     } else if (action instanceof Log a) {
       log.accept(a.text());
     } else if (action instanceof FetchWorkerList || action instanceof Subscribe w && w.on()) {
-      post(this::tellWholeList);
-    } // Tell: front ends can't reach each other here
+      post(this::dispatchFullList);
+    }
+    // SendToPeer is ignored: the dispatcher has no channel to its peers here.
   }
 
   // ---------------------------------------------------------------- calls
 
   /**
-   * Whether a call with this id is in hand, so that the workers could not tell another one from it.
+   * Whether a call with this request id is in flight. Workers could not tell a second one from it.
    */
-  public boolean isInFlight(Buffer rid) {
-    return rids.contains(rid);
+  public boolean isInFlight(Buffer requestId) {
+    return requestIdsInFlight.contains(requestId);
   }
 
-  /** Takes a call; its answer goes to {@code reply}. */
+  /** Accepts a call; its answer goes to {@code reply}. */
   public Call submit(Request request, Reply reply) {
     long now = clock.now();
-    // The client has waited since it wrote the call, which may have lain unread for as long as we
-    // are late.
-    long patience = Math.max(1, request.budget() - lag.lag());
+    // The client has waited since it wrote the call, which may have lain unread for as long as this
+    // process is late.
+    long budget = Math.max(1, request.budget() - lag.lag());
     Call call =
         new Call(
-            nextCall++,
+            nextCallId++,
             request,
             reply,
-            now + patience,
-            Math.min(ANSWER_EARLY, patience / EARLY_PART));
+            now + budget,
+            Math.min(ANSWER_MARGIN_MICROS, budget / ANSWER_MARGIN_DIVISOR));
     counters.add(Count.CALLS_TAKEN);
-    owed++;
+    unansweredCalls++;
     calls.put(call.id, call);
-    rids.add(request.requestId());
-    bytesInHand += request.body().length();
-    onceRead(() -> post(() -> begin(call))); // not by the pass that others' steps have scheduled
+    requestIdsInFlight.add(request.requestId());
+    bodyBytesInFlight += request.body().length();
+    // Not in the run of the queue that is scheduled already, which may come before unread input.
+    afterSocketReads(() -> post(() -> start(call)));
     return call;
   }
 
-  /** The client no longer waits for an answer. */
+  /** Abandons a call whose client no longer waits for the answer. */
   public void abandon(Call call) {
-    call.attended(false);
+    call.setClientWaiting(false);
     post(
         () -> {
           if (!call.isOver) {
             end(call, Count.CALLS_LEFT, r -> {});
-            tell(new ClientDisconnected(call.id));
+            dispatch(new ClientDisconnected(call.id));
           }
         });
   }
 
-  private void begin(Call call) {
-    if (call.isOver) { // left while it was queued
+  private void start(Call call) {
+    // The client may have gone while the call was queued.
+    if (call.isOver) {
       return;
     }
-    Request r = call.request;
-    boolean crowded = calls.size() > MOST_CALLS || bytesInHand > MOST_BYTES;
-    if (!isKeepingUp() || crowded) {
-      counters.add(crowded ? Count.CALLS_REFUSED_CROWDED : Count.CALLS_REFUSED_LATE);
-      refuse(call, GUARD_BACKOFF_MILLIS);
+    Request request = call.request;
+    boolean overloaded =
+        calls.size() > MAX_CALLS_IN_FLIGHT || bodyBytesInFlight > MAX_BODY_BYTES_IN_FLIGHT;
+    if (!isKeepingUp() || overloaded) {
+      counters.add(overloaded ? Count.CALLS_REFUSED_CROWDED : Count.CALLS_REFUSED_LATE);
+      refuse(call, OVERLOAD_BACKOFF_MILLIS);
       return;
     }
-    functions.put(r.function(), r.functionBytes());
-    long left = call.deadline - clock.now();
+    functionNames.put(request.function(), request.functionBytes());
+    long remaining = call.deadline - clock.now();
     call.timers.add(
-        vertx.setTimer(Math.max(1, (left - call.early / 3) / 1_000), t -> post(() -> guard(call))));
-    tell(
+        vertx.setTimer(
+            Math.max(1, (remaining - call.answerMargin / 3) / 1_000),
+            t -> post(() -> failUnanswered(call))));
+    dispatch(
         new Dispatcher.CallArrival(
             call.id,
-            Math.max(1_000, left - call.early),
+            Math.max(1_000, remaining - call.answerMargin),
             0,
-            r.function(),
-            r.resourceHints().lanes(),
-            r.resourceHints().memoryMb(),
-            r.callClass(),
-            r.tenant(),
-            r.retry(),
+            request.function(),
+            request.resourceHints().lanes(),
+            request.resourceHints().memoryMb(),
+            request.callClass(),
+            request.tenant(),
+            request.retry(),
             false,
-            r.resourceHints().loadTime()));
+            request.resourceHints().loadTime()));
   }
 
-  /** Guards against a call that the module leaves without an answer. */
-  private void guard(Call call) {
+  /** Fails a call that the dispatcher has left without an answer until its deadline. */
+  private void failUnanswered(Call call) {
     if (!call.isOver) {
       counters.add(Count.CALLS_GUARDED);
       fail(call);
-      tell(new ClientDisconnected(call.id));
+      dispatch(new ClientDisconnected(call.id));
     }
   }
 
   private void refuse(Call call, long backoffMillis) {
     if (call != null && !call.isOver) {
-      boolean safe =
+      boolean idempotent =
           settings.classes().get(call.request.callClass()).idempotency()
               == Dispatcher.Idempotency.IDEMPOTENT;
-      if (!safe
-          && (call.mayHaveRun
-              || call.out > 0)) { // guards rule 2: 'try again' only where that is harmless
+      // A refusal invites a retry, which must not make the call take effect twice.
+      if (!idempotent && (call.mayHaveRun || call.attemptsInFlight > 0)) {
         fail(call);
         return;
       }
@@ -391,43 +414,51 @@
 
   private void fail(Call call) {
     if (call != null && !call.isOver) {
-      end(call, Count.CALLS_FAILED, r -> r.failed(clock.now() >= call.deadline - 2 * call.early));
+      end(
+          call,
+          Count.CALLS_FAILED,
+          r -> r.failed(clock.now() >= call.deadline - 2 * call.answerMargin));
     }
   }
 
-  /** The one place where a call ends, whatever ended it. */
-  private void end(Call call, Count how, Consumer<Reply> answer) {
-    counters.add(how);
+  /**
+   * Ends a call. All calls end here, for whatever reason.
+   *
+   * @param outcome the counter of this kind of end
+   */
+  private void end(Call call, Count outcome, Consumer<Reply> answer) {
+    counters.add(outcome);
     call.isOver = true;
-    owed--;
+    unansweredCalls--;
     call.timers.forEach(vertx::cancelTimer);
     call.timers.clear();
     answer.accept(call.reply);
     release(call);
-    post(this::lookIfIdle);
+    post(this::runIfIdle);
   }
 
-  /** Lets go of a call that is over once no attempt is out. */
+  /** Forgets a call that is over once no attempt is in flight. */
   private void release(Call call) {
-    if (call.isOver && call.out == 0 && calls.remove(call.id) != null) {
-      rids.remove(call.request.requestId());
-      bytesInHand -= call.request.body().length();
+    if (call.isOver && call.attemptsInFlight == 0 && calls.remove(call.id) != null) {
+      requestIdsInFlight.remove(call.request.requestId());
+      bodyBytesInFlight -= call.request.body().length();
     }
   }
 
   // ---------------------------------------------------------------- attempts
 
-  private void send(Send a) {
-    Call call = calls.get(a.call());
+  private void send(Send action) {
+    Call call = calls.get(action.call());
     long now = clock.now();
-    if (call == null) { // guards against a module that goes on with a call that is over
+    // The dispatcher may still act for a call that is over.
+    if (call == null) {
       post(
           () ->
-              tell(
+              dispatch(
                   new AttemptOutcome(
-                      a.call(),
+                      action.call(),
                       0,
-                      a.worker(),
+                      action.worker(),
                       OutcomeCode.MOOT,
                       0,
                       true,
@@ -436,158 +467,176 @@
                       null)));
       return;
     }
-    long last = call.deadline - call.early;
-    long until = a.timeout() == 0 ? last : Math.min(last, now + a.timeout());
-    Attempt attempt = new Attempt(this, call, call.attempts.size(), a.worker(), now, until);
+    long answerBy = call.deadline - call.answerMargin;
+    long timeoutAt = action.timeout() == 0 ? answerBy : Math.min(answerBy, now + action.timeout());
+    Attempt attempt =
+        new Attempt(this, call, call.attempts.size(), action.worker(), now, timeoutAt);
     call.attempts.add(attempt);
-    call.out++;
-    out.merge(a.worker(), 1, Integer::sum);
+    call.attemptsInFlight++;
+    inFlight.merge(action.worker(), 1, Integer::sum);
     if (call.isAwaited()) {
       counters.add(Count.ATTEMPTS_SENT);
-      workers.run(attempt);
-    } else { // guards rule 1, and callers who have gone: nothing is sent for a call that has its
-      // answer or wants none
+      transport.run(attempt);
+    } else {
+      // Nothing is sent for a call that has its answer or whose client has gone.
       attempt.complete(AttemptResult.of(OutcomeCode.MOOT));
     }
   }
 
   private void cancel(Call call, int index) {
     if (call != null && index < call.attempts.size()) {
-      workers.cancel(call.attempts.get(index));
+      transport.cancel(call.attempts.get(index));
     }
   }
 
-  void attemptEnded(Attempt attempt, AttemptResult e) {
+  void attemptEnded(Attempt attempt, AttemptResult result) {
     Call call = attempt.call;
-    call.out--;
-    cameBack(attempt.worker());
-    call.mayHaveRun |= !e.code().notRun;
-    counters.add(Count.valueOf("ATTEMPTS_" + e.code()));
-    if (e.code() == OutcomeCode.OK) {
-      tookWork(attempt.worker(), attempt.sentAt);
+    call.attemptsInFlight--;
+    decrementInFlight(attempt.worker());
+    call.mayHaveRun |= !result.code().notRun;
+    counters.add(Count.valueOf("ATTEMPTS_" + result.code()));
+    if (result.code() == OutcomeCode.OK) {
+      recordAcceptedWork(attempt.worker(), attempt.sentAt);
     }
-    if (e.code() == OutcomeCode.OK && !call.isOver) {
-      end(call, Count.CALLS_SERVED, r -> r.served(e.body()));
+    if (result.code() == OutcomeCode.OK && !call.isOver) {
+      end(call, Count.CALLS_SERVED, r -> r.served(result.body()));
     }
-    hearsay.check(attempt.worker(), call.request.function(), e.copyStatus(), clock.now());
+    factTranslator.verifyCopy(
+        attempt.worker(), call.request.function(), result.copyStatus(), clock.now());
     try {
-      tell(
+      dispatch(
           new AttemptOutcome(
               call.id,
               attempt.index,
               attempt.worker(),
-              e.code(),
+              result.code(),
               clock.now() - attempt.sentAt,
               call.isOver,
-              e.copyStatus(),
-              e.concurrency(),
-              e.loadReport()));
+              result.copyStatus(),
+              result.concurrency(),
+              result.loadReport()));
     } finally {
       release(call);
     }
   }
 
-  // ---------------------------------------------------------------- orders, probes, timers
+  // ---------------------------------------------------------------- preloads, probes, timers
 
-  /** One thing less is out at a worker. */
-  private void cameBack(int worker) {
-    out.computeIfPresent(worker, (w, n) -> n > 1 ? n - 1 : null);
+  /** Counts one attempt or preload request less in flight at a worker. */
+  private void decrementInFlight(int worker) {
+    inFlight.computeIfPresent(worker, (w, n) -> n > 1 ? n - 1 : null);
   }
 
-  void preloadEnded(PreloadRequest o, OutcomeCode code, int standing) {
-    cameBack(o.worker());
-    if (code == OutcomeCode.OK && o.copies() > 0) {
-      tookWork(o.worker(), o.givenAt);
+  void preloadEnded(PreloadRequest request, OutcomeCode code, int copies) {
+    decrementInFlight(request.worker());
+    if (code == OutcomeCode.OK && request.copies() > 0) {
+      recordAcceptedWork(request.worker(), request.sentAt);
     }
-    tell(new PreloadResult(clock.now() - o.givenAt, standing, o.worker(), code, o.function));
+    dispatch(
+        new PreloadResult(
+            clock.now() - request.sentAt, copies, request.worker(), code, request.function));
   }
 
-  private void tookWork(int worker, long sentAt) {
-    if (roster.find(worker) != null) {
+  private void recordAcceptedWork(int worker, long sentAt) {
+    if (workerTable.find(worker) != null) {
       discovery.leases().recordAcceptedWork(worker, sentAt);
     }
   }
 
-  void probeEnded(WorkerProbe p, OutcomeCode code, float[] report) {
-    tell(new ProbeResult(clock.now() - p.askedAt, p.worker(), code, report));
+  void probeEnded(WorkerProbe probe, OutcomeCode code, float[] report) {
+    dispatch(new ProbeResult(clock.now() - probe.sentAt, probe.worker(), code, report));
   }
 
   /**
-   * Asks a worker how it is for others than the module; {@code then} is told whether it answered,
-   * and after how long. One that is not on the list, drains or is out is not asked.
+   * Probes a worker independently of the dispatcher. A worker that may not get work now is not
+   * probed and counts as not responding.
+   *
+   * @param callback receives whether the worker responded, and after how many microseconds
    */
-  public void probeWorker(String worker, BiConsumer<Boolean, Long> then) {
+  public void probeWorker(String worker, BiConsumer<Boolean, Long> callback) {
     post(
         () -> {
-          WorkerTable.Entry entry = roster.find(worker);
-          if (entry == null || standing(entry).state() != WorkerState.READY) {
-            then.accept(false, 0L);
+          WorkerTable.Entry entry = workerTable.find(worker);
+          if (entry == null || effectiveState(entry).state() != WorkerState.READY) {
+            callback.accept(false, 0L);
             return;
           }
-          long asked = clock.now();
+          long sentAt = clock.now();
           counters.add(Count.PROBES_SENT);
-          workers.probe(
+          transport.probe(
               new WorkerProbe(
                   this,
                   entry.id(),
-                  asked,
-                  code -> then.accept(code == OutcomeCode.OK, clock.now() - asked)));
+                  sentAt,
+                  code -> callback.accept(code == OutcomeCode.OK, clock.now() - sentAt)));
         });
   }
 
-  /** Names of the workers of a hall (all halls with -1) that may get work, in order. */
+  /**
+   * Sorted names of the workers that may get work.
+   *
+   * @param zone index of the hall in the settings, or -1 for all halls
+   */
   public List<String> readyWorkers(int zone) {
     List<String> names = new ArrayList<>();
-    for (WorkerTable.Entry e : roster.all()) {
-      if ((zone < 0 || e.endpoint().zone() == zone) && standing(e).state() == WorkerState.READY) {
-        names.add(e.endpoint().name());
+    for (WorkerTable.Entry entry : workerTable.all()) {
+      if ((zone < 0 || entry.endpoint().zone() == zone)
+          && effectiveState(entry).state() == WorkerState.READY) {
+        names.add(entry.endpoint().name());
       }
     }
     names.sort(null);
     return names;
   }
 
-  private Buffer spelling(long function) {
-    Buffer known = functions.get(function);
-    return known != null ? known : Buffer.buffer(String.format("%016x", function));
+  /** The function as clients write it, or as 16 hex digits where that is no longer kept. */
+  private Buffer functionName(long function) {
+    Buffer name = functionNames.get(function);
+    return name != null ? name : Buffer.buffer(String.format("%016x", function));
   }
 
-  private void startTimer(StartTimer a) {
-    Call call = a.token() >= 0 ? calls.get((int) a.token()) : null;
-    if (a.token() >= 0 && (call == null || call.isOver)) {
+  private void startTimer(StartTimer action) {
+    // A token that is not negative is the id of a call.
+    Call call = action.token() >= 0 ? calls.get((int) action.token()) : null;
+    if (action.token() >= 0 && (call == null || call.isOver)) {
       return;
     }
-    // Rounded up: the module looks at the clock again, and a timer that is early by a fraction
-    // finds nothing due.
-    long id =
+    // Rounded up: the dispatcher checks the clock again, and a timer that fires a fraction early
+    // would find nothing due.
+    long timerId =
         vertx.setTimer(
-            Math.max(1, (a.delay() + 999) / 1_000),
-            t -> post(() -> tell(new TimerFired(a.token()))));
+            Math.max(1, (action.delay() + 999) / 1_000),
+            t -> post(() -> dispatch(new TimerFired(action.token()))));
     if (call != null) {
-      call.timers.add(id);
+      call.timers.add(timerId);
     }
   }
 
-  // ---------------------------------------------------------------- the list of workers
+  // ---------------------------------------------------------------- worker list
 
-  /** Takes news of the list: changes, or the whole of it, in which what is missing is gone. */
+  /**
+   * Applies an update of the worker list.
+   *
+   * @param kind whether {@code endpoints} holds changes only, or all workers, in which case missing
+   *     ones are gone
+   */
   public void updateWorkers(ListKind kind, List<Endpoint> endpoints) {
     post(
         () -> {
           counters.add(Count.LIST_CHANGES);
           long now = clock.now();
-          List<WorkerEntry> members = new ArrayList<>();
+          List<WorkerEntry> entries = new ArrayList<>();
           List<WorkerTable.Entry> missing = new ArrayList<>();
           if (kind != ListKind.DELTA) {
-            roster.all().forEach(missing::add);
+            workerTable.all().forEach(missing::add);
           }
           for (Endpoint e : endpoints) {
             missing.removeIf(m -> m.endpoint().name().equals(e.name()));
-            submit(e, now, members);
+            applyEndpoint(e, now, entries);
           }
           for (WorkerTable.Entry m : missing) {
             Endpoint e = m.endpoint();
-            submit(
+            applyEndpoint(
                 new Endpoint(
                     e.name(),
                     e.host(),
@@ -599,141 +648,153 @@
                     e.weight(),
                     e.startedAt()),
                 now,
-                members);
+                entries);
           }
-          tell(new WorkerListUpdate(kind, members));
-          believe(hearsay.takeEarly());
+          dispatch(new WorkerListUpdate(kind, entries));
+          applyFacts(factTranslator.removePending());
         });
   }
 
-  private void submit(Endpoint e, long now, List<WorkerEntry> members) {
-    WorkerTable.Entry entry = roster.tell(e, now);
-    members.add(stand(entry));
-    if (e.state() == WorkerState.GONE) {
-      roster.forget(entry);
+  private void applyEndpoint(Endpoint endpoint, long now, List<WorkerEntry> entries) {
+    WorkerTable.Entry entry = workerTable.put(endpoint, now);
+    entries.add(publishState(entry));
+    if (endpoint.state() == WorkerState.GONE) {
+      workerTable.remove(entry);
       discovery.leases().forget(entry.id());
     }
   }
 
-  /** Tells the way to a worker what holds for it; the same for the module. */
-  private WorkerEntry stand(WorkerTable.Entry entry) {
-    EffectiveState s = standing(entry);
-    Endpoint e = entry.endpoint();
-    workers.update(
+  /**
+   * Passes the effective state of a worker to the transport, and returns it as an entry for the
+   * dispatcher.
+   */
+  private WorkerEntry publishState(WorkerTable.Entry entry) {
+    EffectiveState effective = effectiveState(entry);
+    Endpoint endpoint = entry.endpoint();
+    transport.update(
         entry.id(),
         new Endpoint(
-            e.name(),
-            e.host(),
-            e.port(),
-            e.zone(),
-            e.kind(),
-            e.cell(),
-            s.state(),
-            e.weight(),
-            s.startedAt()),
-        s.stopAt());
-    return member(entry, s);
-  }
-
-  private EffectiveState standing(WorkerTable.Entry entry) {
-    Endpoint e = entry.endpoint();
-    EffectiveState said =
-        bans.over(
-            e.name(),
-            e.state(),
-            entry.toldAt(),
-            Math.max(e.startedAt(), discovery.leases().startedAt(entry.id())));
+            endpoint.name(),
+            endpoint.host(),
+            endpoint.port(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            effective.state(),
+            endpoint.weight(),
+            effective.startedAt()),
+        effective.stopAt());
+    return toEntry(entry, effective);
+  }
+
+  /** The state of a worker by the list, suspensions and its lease together. */
+  private EffectiveState effectiveState(WorkerTable.Entry entry) {
+    Endpoint endpoint = entry.endpoint();
+    EffectiveState withoutLease =
+        suspensions.effectiveState(
+            endpoint.name(),
+            endpoint.state(),
+            entry.drainReportedAt(),
+            Math.max(endpoint.startedAt(), discovery.leases().startedAt(entry.id())));
     return discovery.leases().isHeldBack(entry.id())
-        ? said.heldBack(discovery.leases().leaseUntil(entry.id()))
-        : said;
+        ? withoutLease.heldBack(discovery.leases().leaseUntil(entry.id()))
+        : withoutLease;
   }
 
-  /** The workers on the list, whose leases end while discovery is out of reach. */
-  private final class Leased implements DiscoveryMonitor.WorkerDirectory {
+  /** The listed workers, as the discovery monitor sees them. */
+  private final class LeaseDirectory implements DiscoveryMonitor.WorkerDirectory {
     @Override
     public Iterable<Integer> workers() {
-      return roster.ids();
+      return workerTable.ids();
     }
 
     @Override
     public String name(int worker) {
-      return roster.find(worker).endpoint().name();
+      return workerTable.find(worker).endpoint().name();
     }
 
     @Override
     public boolean isListedReady(int worker) {
-      return roster.find(worker).endpoint().state() == WorkerState.READY;
+      return workerTable.find(worker).endpoint().state() == WorkerState.READY;
     }
 
     @Override
-    public void restate(Collection<Integer> workers) {
-      DispatchLoop.this.restate(workers.stream().map(this::name).toList());
+    public void onStateChanged(Collection<Integer> workers) {
+      DispatchLoop.this.refreshWorkers(workers.stream().map(this::name).toList());
     }
 
     @Override
-    public void renew(List<Integer> workers, int urgent) {
-      tell(new Dispatcher.LeasesExpiring(workers, urgent));
+    public void requestRenewal(List<Integer> workers, int urgent) {
+      dispatch(new Dispatcher.LeasesExpiring(workers, urgent));
     }
   }
 
-  private void tellWholeList() {
-    List<WorkerEntry> members = new ArrayList<>();
-    roster.all().forEach(e -> members.add(member(e, standing(e))));
-    tell(new WorkerListUpdate(ListKind.FULL, members));
+  private void dispatchFullList() {
+    List<WorkerEntry> entries = new ArrayList<>();
+    workerTable.all().forEach(e -> entries.add(toEntry(e, effectiveState(e))));
+    dispatch(new WorkerListUpdate(ListKind.FULL, entries));
   }
 
-  private static WorkerEntry member(WorkerTable.Entry entry, EffectiveState s) {
-    Endpoint e = entry.endpoint();
+  private static WorkerEntry toEntry(WorkerTable.Entry entry, EffectiveState effective) {
+    Endpoint endpoint = entry.endpoint();
     return new WorkerEntry(
-        entry.id(), e.zone(), e.kind(), e.cell(), s.state(), e.weight(), s.startedAt());
+        entry.id(),
+        endpoint.zone(),
+        endpoint.kind(),
+        endpoint.cell(),
+        effective.state(),
+        endpoint.weight(),
+        effective.startedAt());
   }
 
-  // ---------------------------------------------------------------- what operators say of workers
+  // ---------------------------------------------------------------- suspensions by operators
 
   /**
-   * Takes a worker out, or ends that, whatever the list says. Done once it holds here; false where
-   * no such worker was ever listed.
+   * Suspends a worker or ends its suspension, whatever the list says. Completes once that is in
+   * effect here, with false if no such worker was ever listed.
    *
-   * @param at when it was said, which is kept where it is said again
+   * @param at when the operator asked for it; a repeated suspension keeps the time of the first
    */
-  public Future<Boolean> setSuspended(String worker, boolean out, long at) {
-    return inTurn(
+  public Future<Boolean> setSuspended(String worker, boolean suspended, long at) {
+    return supplyInTurn(
         () -> {
-          boolean known = roster.wasListed(worker) || bans.isOut(worker);
+          boolean known = workerTable.wasListed(worker) || suspensions.isSuspended(worker);
           if (known) {
-            if (out) {
-              bans.suspend(worker, at);
+            if (suspended) {
+              suspensions.suspend(worker, at);
             } else {
-              bans.resume(worker, at);
+              suspensions.resume(worker, at);
             }
-            restate(List.of(worker));
+            refreshWorkers(List.of(worker));
           }
           return known;
         });
   }
 
   /**
-   * Takes over what another process of this front end has written of workers that are out and that
-   * came back.
+   * Takes over the suspensions that another process of this front end has recorded.
+   *
+   * @param suspended suspended workers, and since when
+   * @param resumptions workers whose suspension has ended, and when
    */
-  public Future<Void> setSuspended(Map<String, Long> out, Map<String, Long> back) {
-    return inTurn(
+  public Future<Void> setSuspended(Map<String, Long> suspended, Map<String, Long> resumptions) {
+    return supplyInTurn(
         () -> {
-          restate(bans.replace(out, back));
+          refreshWorkers(suspensions.replace(suspended, resumptions));
           return null;
         });
   }
 
   /**
-   * A line for each worker on the list, and for each that is out but not on it: its name, state,
-   * and since when out.
+   * Describes the workers for operators: a line for each that is listed or suspended, with its
+   * name, its state, and since when it is held back or suspended.
    */
   public Future<String> describeWorkers() {
-    return inTurn(
+    return supplyInTurn(
         () -> {
           Map<String, String> lines = new TreeMap<>();
-          bans.out().forEach((name, at) -> lines.put(name, "unlisted"));
-          roster
+          suspensions.suspendedAt().forEach((name, at) -> lines.put(name, "unlisted"));
+          workerTable
               .all()
               .forEach(
                   e ->
@@ -752,89 +813,97 @@
                       .append(' ')
                       .append(state)
                       .append(
-                          bans.isOut(name)
-                              ? " out since " + Instant.ofEpochMilli(bans.out().get(name) / 1_000)
+                          suspensions.isSuspended(name)
+                              ? " out since "
+                                  + Instant.ofEpochMilli(
+                                      suspensions.suspendedAt().get(name) / 1_000)
                               : "")
                       .append('\n'));
           return text.toString();
         });
   }
 
-  // ---------------------------------------------------------------- what instances know of each
-  // other's
+  // ---------------------------------------------------------------- facts from other front ends
 
-  /** Who this instance is in the facts that it passes on; another one with every start. */
+  /** The origin of the facts that this process passes on; differs after each restart. */
   public String instanceId() {
-    return hearsay.origin();
+    return factTranslator.origin();
   }
 
-  /** All facts that this instance has: what it saw itself by now, and what it heard. */
+  /** All facts that this process has, from its own observations and from other front ends. */
   public Future<List<Fact>> facts() {
-    return inTurn(
+    return supplyInTurn(
         () -> {
           long now = clock.now();
-          module.exportObservations(
+          dispatcher.exportObservations(
               now,
-              known ->
-                  hearsay.saw(
-                      known,
+              observation ->
+                  factTranslator.recordObservation(
+                      observation,
                       id -> {
-                        WorkerTable.Entry entry = roster.find(id);
+                        WorkerTable.Entry entry = workerTable.find(id);
                         return entry == null ? null : entry.endpoint().name();
                       },
                       now));
-          return hearsay.facts();
+          return factTranslator.facts();
         });
   }
 
   /**
-   * Takes in what others saw; done, with how many of the facts were of use, once the module was
-   * told.
+   * Merges facts from other front ends. Completes with the number of facts that were passed to the
+   * dispatcher.
    */
   public Future<Integer> mergeFacts(List<Fact> facts) {
-    return inTurn(() -> believe(facts));
+    return supplyInTurn(() -> applyFacts(facts));
   }
 
-  private int believe(List<Fact> facts) {
+  private int applyFacts(List<Fact> facts) {
     long now = clock.now();
     int used = 0;
     for (Fact fact : facts) {
-      WorkerTable.Entry entry = roster.find(fact.subject().worker());
+      WorkerTable.Entry entry = workerTable.find(fact.subject().worker());
       if (entry == null && fact.subject().kind() != Fact.Kind.FUNCTION) {
-        hearsay.keepEarly(fact);
+        factTranslator.addPending(fact);
         continue;
       }
       if (entry != null
           && fact.subject().kind() == Fact.Kind.WORKER
           && fact.origin().startsWith(PROBER_ORIGIN_PREFIX)) {
         if (fact.value().b() >= 0.5) {
-          toldFailing.add(fact.subject().worker());
+          reportedFailing.add(fact.subject().worker());
         } else {
-          toldFailing.remove(fact.subject().worker());
+          reportedFailing.remove(fact.subject().worker());
         }
       }
-      EffectiveState s = entry == null ? null : standing(entry);
-      Dispatcher.Observation known =
-          hearsay.heard(
+      EffectiveState effective = entry == null ? null : effectiveState(entry);
+      Dispatcher.Observation observation =
+          factTranslator.mergeRemote(
               fact,
               entry == null ? 0 : entry.id(),
-              s == null ? null : new FactFilter.WorkerStatus(s.state(), s.startedAt()),
+              effective == null
+                  ? null
+                  : new FactFilter.WorkerStatus(effective.state(), effective.startedAt()),
               now);
-      if (known != null) {
+      if (observation != null) {
         counters.add(Count.FACTS_USED);
-        tell(known);
+        dispatch(observation);
         used++;
       }
     }
     return used;
   }
 
-  // ---------------------------------------------------------------- what plans of the whole fleet
-  // want
+  // ---------------------------------------------------------------- plans of the whole fleet
 
   /**
-   * A worker as this front end has it; {@code kind} as the settings number it, {@code startedAt} in
-   * Unix microseconds.
+   * A worker as this front end sees it.
+   *
+   * @param zone index of its hall in the settings
+   * @param kind index of its hardware kind in the settings
+   * @param ready whether the list has it as ready and its lease has not ended
+   * @param startedAt when it started, in Unix microseconds, or 0 for long ago
+   * @param cold whether it was started so recently that it is still warming up
+   * @param failing whether the health prober of its hall reports it as failing
    */
   public record WorkerView(
       String name,
@@ -845,129 +914,142 @@
       boolean cold,
       boolean failing) {}
 
-  /** Takes out what plans have out, and nothing else by plans; done once that holds here. */
-  public Future<Void> suspendByPlan(Set<String> nowOut, Set<String> cold) {
-    return inTurn(
+  /**
+   * Suspends the workers that plans suspend, and ends all other suspensions by plans. Completes
+   * once that is in effect here.
+   *
+   * @param suspended all workers that plans suspend from now on
+   * @param cold workers that were serviced; those whose suspension ends count as newly started
+   */
+  public Future<Void> suspendByPlan(Set<String> suspended, Set<String> cold) {
+    return supplyInTurn(
         () -> {
-          restate(bans.settle(nowOut, cold, clock.now()));
+          refreshWorkers(suspensions.replacePlanned(suspended, cold, clock.now()));
           return null;
         });
   }
 
-  /**
-   * The workers that the list has now; ready ones are so whatever is out by hand or plan, but not
-   * while discovery's word is too old.
-   */
+  /** The listed workers. Suspensions do not affect {@code ready}. */
   public List<WorkerView> workerViews() {
     long now = clock.now();
-    List<WorkerView> all = new ArrayList<>();
-    for (WorkerTable.Entry e : roster.all()) {
-      Endpoint p = e.endpoint();
-      long since = standing(e).startedAt();
+    List<WorkerView> views = new ArrayList<>();
+    for (WorkerTable.Entry entry : workerTable.all()) {
+      Endpoint endpoint = entry.endpoint();
+      long startedAt = effectiveState(entry).startedAt();
+      // A worker whose lease has ended may drain, so it does not count as ready.
       boolean ready =
-          p.state() == WorkerState.READY
-              && !discovery.leases().isHeldBack(e.id()); // what nobody knows of counts as out
-      all.add(
+          endpoint.state() == WorkerState.READY && !discovery.leases().isHeldBack(entry.id());
+      views.add(
           new WorkerView(
-              p.name(),
-              p.zone(),
-              p.kind(),
+              endpoint.name(),
+              endpoint.zone(),
+              endpoint.kind(),
               ready,
-              p.startedAt(),
-              since > 0 && now - since < settings.rules().coldDuration(),
-              toldFailing.contains(p.name())));
+              endpoint.startedAt(),
+              startedAt > 0 && now - startedAt < settings.rules().coldDuration(),
+              reportedFailing.contains(endpoint.name())));
     }
-    return all;
+    return views;
   }
 
   /**
-   * Attempts and orders that are out, by worker's name; what was out at one that is gone counts no
-   * more.
+   * Attempts and preload requests in flight, by worker name. Leaves out workers that are no longer
+   * listed.
    */
   public Map<String, Integer> inFlightByWorker() {
-    Map<String, Integer> named = new TreeMap<>();
-    out.forEach(
-        (id, n) -> {
-          WorkerTable.Entry e = roster.find(id);
-          if (e != null) {
-            named.put(e.endpoint().name(), n);
+    Map<String, Integer> byName = new TreeMap<>();
+    inFlight.forEach(
+        (id, count) -> {
+          WorkerTable.Entry entry = workerTable.find(id);
+          if (entry != null) {
+            byName.put(entry.endpoint().name(), count);
           }
         });
-    return named;
+    return byName;
   }
 
   /**
-   * Functions in use here, by their hex digits, and the workers that hold them loaded as far as
-   * this front end saw; so many at the most.
+   * Functions in recent use, as 16 hex digits, and the names of the workers that have them loaded,
+   * as far as this front end has observed.
+   *
+   * @param limit the number of functions that are considered, the most used first
    */
-  public Map<String, Set<String>> copiesByFunction(int most) {
-    Map<Long, Double> recent = new HashMap<>();
-    Map<Long, Set<String>> at = new HashMap<>();
-    module.exportObservations(
+  public Map<String, Set<String>> copiesByFunction(int limit) {
+    Map<Long, Double> recentCalls = new HashMap<>();
+    Map<Long, Set<String>> workersByFunction = new HashMap<>();
+    dispatcher.exportObservations(
         clock.now(),
-        known -> {
-          if (known instanceof Dispatcher.FunctionObservation f && f.recentCalls() >= 1) {
-            recent.put(f.function(), f.recentCalls());
-          } else if (known instanceof Dispatcher.CopyObservation c
-              && roster.find(c.worker()) != null
-              && !discovery.leases().isHeldBack(c.worker())) {
-            at.computeIfAbsent(c.function(), k -> new HashSet<>())
-                .add(roster.find(c.worker()).endpoint().name());
+        observation -> {
+          if (observation instanceof Dispatcher.FunctionObservation function
+              && function.recentCalls() >= 1) {
+            recentCalls.put(function.function(), function.recentCalls());
+          } else if (observation instanceof Dispatcher.CopyObservation copy
+              && workerTable.find(copy.worker()) != null
+              && !discovery.leases().isHeldBack(copy.worker())) {
+            workersByFunction
+                .computeIfAbsent(copy.function(), k -> new HashSet<>())
+                .add(workerTable.find(copy.worker()).endpoint().name());
           }
         });
-    Map<String, Set<String>> named = new TreeMap<>();
-    recent.entrySet().stream()
+    Map<String, Set<String>> byName = new TreeMap<>();
+    recentCalls.entrySet().stream()
         .sorted(Map.Entry.<Long, Double>comparingByValue().reversed())
-        .limit(most)
-        .filter(e -> at.containsKey(e.getKey()))
-        .forEach(e -> named.put(String.format("%016x", e.getKey()), at.get(e.getKey())));
-    return named;
+        .limit(limit)
+        .filter(e -> workersByFunction.containsKey(e.getKey()))
+        .forEach(
+            e -> byName.put(String.format("%016x", e.getKey()), workersByFunction.get(e.getKey())));
+    return byName;
   }
 
-  /** Has the module order a copy of a function at a worker, within its ration. */
+  /**
+   * Lets the dispatcher request a copy of a function at a worker, within its limits on preloading.
+   */
   public void requestCopy(String worker, long function) {
     post(
         () -> {
-          WorkerTable.Entry entry = roster.find(worker);
+          WorkerTable.Entry entry = workerTable.find(worker);
           if (entry != null) {
-            tell(new Dispatcher.CopyRequested(entry.id(), function));
+            dispatch(new Dispatcher.CopyRequested(entry.id(), function));
           }
         });
   }
 
-  private void restate(Iterable<String> names) {
-    List<WorkerEntry> members = new ArrayList<>();
+  /** Recomputes the state of the named workers and passes it on. */
+  private void refreshWorkers(Iterable<String> names) {
+    List<WorkerEntry> entries = new ArrayList<>();
     for (String name : names) {
-      WorkerTable.Entry entry = roster.find(name);
+      WorkerTable.Entry entry = workerTable.find(name);
       if (entry != null) {
-        members.add(stand(entry));
+        entries.add(publishState(entry));
       }
     }
-    if (!members.isEmpty()) {
-      tell(new WorkerListUpdate(ListKind.DELTA, members));
+    if (!entries.isEmpty()) {
+      dispatch(new WorkerListUpdate(ListKind.DELTA, entries));
     }
   }
 
   /**
-   * What is left of the workers' leases, by name, for a process that takes over; null where they
-   * have none.
+   * The remaining time of the leases in microseconds, by worker name, for a process that takes
+   * over; null where no discovery is followed.
    */
   public Future<Map<String, Long>> remainingLeases() {
-    return inTurn(discovery::remainingLeases);
+    return supplyInTurn(discovery::remainingLeases);
   }
 
   /**
-   * Goes on with the leases of the process that this one replaces, as they stood {@code age}
-   * microseconds ago.
+   * Takes over the leases of the process that this one replaces.
+   *
+   * @param remaining the remaining time of the leases in microseconds, by worker name
+   * @param age how long ago {@code remaining} was recorded, in microseconds
    */
-  public Future<Void> takeOverLeases(Map<String, Long> left, long age) {
-    return inTurn(
+  public Future<Void> takeOverLeases(Map<String, Long> remaining, long age) {
+    return supplyInTurn(
         () -> {
           Map<Integer, Long> byId = new HashMap<>();
-          left.forEach(
-              (name, rest) -> {
-                if (roster.find(name) != null) {
-                  byId.put(roster.find(name).id(), rest);
+          remaining.forEach(
+              (name, lease) -> {
+                if (workerTable.find(name) != null) {
+                  byId.put(workerTable.find(name).id(), lease);
                 }
               });
           discovery.takeOver(byId, age);
@@ -975,22 +1057,25 @@
         });
   }
 
-  /** How many front ends there likely are, and by how much what belongs to all is divided here. */
+  /**
+   * Sets the size of the fleet.
+   *
+   * @param count how many front ends there probably are
+   * @param divisor what fleet-wide limits are divided by for this front end
+   */
   public void setFleetSize(double count, double divisor) {
-    post(() -> tell(new Dispatcher.FleetSizeUpdate(count, divisor)));
+    post(() -> dispatch(new Dispatcher.FleetSizeUpdate(count, divisor)));
   }
 
-  /**
-   * Runs {@code action} one time, once no call is owed an answer: at once, or when the last one has
-   * it.
-   */
+  /** Runs {@code action} once when no call is unanswered: at once, or after the last answer. */
   public void whenIdle(Runnable action) {
     whenIdle = action;
-    post(this::lookIfIdle);
+    post(this::runIfIdle);
   }
 
-  private void lookIfIdle() {
-    if (owed == 0 && whenIdle != null) { // guards a call that was taken behind the last answer
+  private void runIfIdle() {
+    // A call may have been accepted after the last answer.
+    if (unansweredCalls == 0 && whenIdle != null) {
       Runnable action = whenIdle;
       whenIdle = null;
       action.run();
--- a/src/main/java/umberrun/core/FactTranslator.java
+++ b/src/main/java/umberrun/core/FactTranslator.java
@@ -22,141 +22,182 @@
 import umberrun.learning.FactStore;
 
 /**
- * Between facts, which have names and origins, and the module, which has numbers: what it saw, and
- * what it is told.
+ * Converts between the facts that front ends exchange, which name workers and carry an origin, and
+ * the observations of the dispatcher, which numbers workers.
  */
 final class FactTranslator {
-  private static final int MOST_FACTS = 8_192;
-  private static final int MOST_UNCHECKED = 4_096;
-  private static final int MOST_EARLY = 2_048;
-  private static final long SECOND = 1_000_000;
+  private static final int MAX_FACTS = 8_192;
+  private static final int MAX_UNVERIFIED_COPIES = 4_096;
+  private static final int MAX_PENDING_FACTS = 2_048;
+  private static final long SECOND_MICROS = 1_000_000;
 
-  /** What is older than this is of no use: functions give way to others every 14 to 25 s. */
-  private static final long MOST_AGE = 30 * SECOND;
+  /** Facts older than this are ignored: other functions displace a loaded one every 14 to 25 s. */
+  private static final long MAX_AGE_MICROS = 30 * SECOND_MICROS;
 
-  /** Half-lives to begin with; what is heard of copies is checked against answers from then on. */
-  private static final long WORKER_LIFE = 15 * SECOND;
+  /**
+   * Initial half-lives. That of copies is then adjusted by whether call responses confirm the facts
+   * about them.
+   */
+  private static final long WORKER_HALF_LIFE_MICROS = 15 * SECOND_MICROS;
 
-  private static final long FUNCTION_LIFE = 20 * SECOND;
+  private static final long FUNCTION_HALF_LIFE_MICROS = 20 * SECOND_MICROS;
 
-  /** A copy that we were told of and have not seen yet. */
-  private record Place(int worker, long function) {}
+  /** A copy of a function at a worker, known from another front end only. */
+  private record CopyKey(int worker, long function) {}
 
   private final String origin = UUID.randomUUID().toString().substring(0, 13);
-  private final FactStore knowledge = new FactStore(MOST_FACTS);
-  private final FactHalfLife calibration;
-  private final FactFilter screen;
-  private final Map<Place, Long> unchecked = new HashMap<>();
+  private final FactStore factStore = new FactStore(MAX_FACTS);
+  private final FactHalfLife halfLives;
+  private final FactFilter filter;
 
-  /** Facts about workers that the own list does not name yet: it may come after them. */
-  private final Set<Fact> early = new LinkedHashSet<>();
+  /** Copies that no response has confirmed or refuted yet, and when their fact was observed. */
+  private final Map<CopyKey, Long> unverifiedCopies = new HashMap<>();
+
+  /**
+   * Facts about workers that are not on this front end's list yet: the list may arrive after them.
+   */
+  private final Set<Fact> pendingFacts = new LinkedHashSet<>();
 
   FactTranslator(Settings settings) {
-    long keep =
+    long copyHalfLife =
         settings.loadPolicy().idleRetention() > 0
             ? settings.loadPolicy().idleRetention()
-            : 10 * SECOND;
-    calibration =
+            : 10 * SECOND_MICROS;
+    halfLives =
         new FactHalfLife(
-            Map.of(Kind.COPY, keep, Kind.WORKER, WORKER_LIFE, Kind.FUNCTION, FUNCTION_LIFE));
-    screen = new FactFilter(settings.rules().coldDuration(), MOST_AGE);
+            Map.of(
+                Kind.COPY,
+                copyHalfLife,
+                Kind.WORKER,
+                WORKER_HALF_LIFE_MICROS,
+                Kind.FUNCTION,
+                FUNCTION_HALF_LIFE_MICROS));
+    filter = new FactFilter(settings.rules().coldDuration(), MAX_AGE_MICROS);
   }
 
-  /** This instance and this life of it. */
+  /**
+   * Identifies this process in the facts that it passes on; random, so it differs after a restart.
+   */
   String origin() {
     return origin;
   }
 
-  /** Takes down what the module saw for itself. */
-  void saw(Observation known, IntFunction<String> nameOf, long now) {
-    Fact fact = fact(known, nameOf, now);
+  /**
+   * Stores an observation of the own dispatcher.
+   *
+   * @param nameOf maps a worker number to its name, or to null where it is not listed
+   */
+  void recordObservation(Observation observation, IntFunction<String> nameOf, long now) {
+    Fact fact = fact(observation, nameOf, now);
     if (fact != null) {
-      knowledge.merge(fact);
+      factStore.merge(fact);
     }
   }
 
-  private Fact fact(Observation known, IntFunction<String> nameOf, long now) {
-    if (known instanceof FunctionObservation f) {
+  private Fact fact(Observation observation, IntFunction<String> nameOf, long now) {
+    if (observation instanceof FunctionObservation function) {
       return new Fact(
-          new Subject(Kind.FUNCTION, "", f.function()),
-          new Value(f.callClass(), f.lanes(), f.loadTime(), f.recentCalls()),
+          new Subject(Kind.FUNCTION, "", function.function()),
+          new Value(
+              function.callClass(), function.lanes(), function.loadTime(), function.recentCalls()),
           origin,
-          now - f.age());
+          now - function.age());
     }
     String name =
         nameOf.apply(
-            known instanceof CopyObservation c ? c.worker() : ((WorkerObservation) known).worker());
-    if (name == null) { // it went before its calls ended
+            observation instanceof CopyObservation copy
+                ? copy.worker()
+                : ((WorkerObservation) observation).worker());
+    // A worker may leave the list before its calls end.
+    if (name == null) {
       return null;
     }
-    return known instanceof CopyObservation c
-        ? new Fact(new Subject(Kind.COPY, name, c.function()), Value.NONE, origin, now - c.age())
+    return observation instanceof CopyObservation copy
+        ? new Fact(
+            new Subject(Kind.COPY, name, copy.function()), Value.NONE, origin, now - copy.age())
         : new Fact(
             new Subject(Kind.WORKER, name, 0),
             new Value(
-                ((WorkerObservation) known).latencyRatio(),
-                ((WorkerObservation) known).failureRate(),
+                ((WorkerObservation) observation).latencyRatio(),
+                ((WorkerObservation) observation).failureRate(),
                 0,
                 0),
             origin,
             now);
   }
 
-  /** Keeps a fact whose worker is not known until the list has news. */
-  void keepEarly(Fact fact) {
-    if (early.size() < MOST_EARLY) { // guards the memory against names that nobody will ever list
-      early.add(fact);
+  /** Keeps a fact about an unlisted worker until the next list update. */
+  void addPending(Fact fact) {
+    // Bounded, as some names may never be listed.
+    if (pendingFacts.size() < MAX_PENDING_FACTS) {
+      pendingFacts.add(fact);
     }
   }
 
-  /** What waited for the list; it no longer does. */
-  List<Fact> takeEarly() {
-    List<Fact> taken = List.copyOf(early);
-    early.clear();
-    return taken;
+  /** Removes and returns the facts that waited for a list update. */
+  List<Fact> removePending() {
+    List<Fact> removed = List.copyOf(pendingFacts);
+    pendingFacts.clear();
+    return removed;
   }
 
+  /** All facts that are stored. */
   List<Fact> facts() {
-    return List.copyOf(knowledge.all());
+    return List.copyOf(factStore.all());
   }
 
-  /** Takes down what another instance saw; what the module is to be told of it, or null. */
-  Observation heard(Fact fact, int worker, FactFilter.WorkerStatus standing, long now) {
+  /**
+   * Merges a fact from another front end. Returns the observation for the dispatcher, or null where
+   * the fact brings nothing new or is not credible.
+   *
+   * @param worker the number of the worker, 0 for a fact about a function
+   * @param status the state of the worker here, null for a fact about a function
+   */
+  Observation mergeRemote(Fact fact, int worker, FactFilter.WorkerStatus status, long now) {
     if (fact.origin().equals(origin)
-        || !screen.admits(fact, standing, now)
-        || !knowledge.merge(fact)) {
+        || !filter.admits(fact, status, now)
+        || !factStore.merge(fact)) {
       return null;
     }
-    Subject s = fact.subject();
-    Value v = fact.value();
+    Subject subject = fact.subject();
+    Value value = fact.value();
     long age = Math.max(0, now - fact.seenAt());
-    double weight = calibration.weight(s.kind(), age);
-    return switch (s.kind()) {
+    double weight = halfLives.weight(subject.kind(), age);
+    return switch (subject.kind()) {
       case COPY -> {
-        if (unchecked.size() < MOST_UNCHECKED) {
-          unchecked.put(new Place(worker, s.function()), fact.seenAt());
+        if (unverifiedCopies.size() < MAX_UNVERIFIED_COPIES) {
+          unverifiedCopies.put(new CopyKey(worker, subject.function()), fact.seenAt());
         }
-        yield new CopyObservation(worker, s.function(), age, weight);
+        yield new CopyObservation(worker, subject.function(), age, weight);
       }
-      case WORKER -> new WorkerObservation(worker, v.a(), v.b(), age, weight);
+      case WORKER -> new WorkerObservation(worker, value.a(), value.b(), age, weight);
       case FUNCTION ->
           new FunctionObservation(
-              s.function(), (int) v.a(), v.b(), (long) v.c(), v.d(), age, weight);
+              subject.function(),
+              (int) value.a(),
+              value.b(),
+              (long) value.c(),
+              value.d(),
+              age,
+              weight);
     };
   }
 
-  /** An answer tells whether what we heard of a copy was right. */
-  void check(int worker, long function, CopyStatus note, long now) {
-    if (!unchecked.isEmpty() && note != CopyStatus.NONE) {
-      Long seenAt = unchecked.remove(new Place(worker, function));
-      if (seenAt != null && now - seenAt <= MOST_AGE) {
-        calibration.record(Kind.COPY, now - seenAt, note == CopyStatus.WARM);
+  /**
+   * Checks a fact about a copy against what the response of its worker says of it, and records
+   * whether the fact was right.
+   */
+  void verifyCopy(int worker, long function, CopyStatus copyStatus, long now) {
+    if (!unverifiedCopies.isEmpty() && copyStatus != CopyStatus.NONE) {
+      Long seenAt = unverifiedCopies.remove(new CopyKey(worker, function));
+      if (seenAt != null && now - seenAt <= MAX_AGE_MICROS) {
+        halfLives.record(Kind.COPY, now - seenAt, copyStatus == CopyStatus.WARM);
       }
     }
   }
 
-  /** After how long half of such facts no longer hold, as measured by now. */
+  /** The age in microseconds at which half of the facts of this kind no longer hold. */
   long halfLife(Kind kind) {
-    return calibration.halfLife(kind);
+    return halfLives.halfLife(kind);
   }
 }
--- a/src/main/java/umberrun/core/Invocation.java
+++ b/src/main/java/umberrun/core/Invocation.java
@@ -4,34 +4,45 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** A call whose answer may be asked for more than once: by its id, or by a repeat under its key. */
+/**
+ * A call whose result may be fetched more than once: by its id, or by a retry with the same
+ * idempotency key. Times are Unix microseconds.
+ */
 public final class Invocation {
   private final String id;
-  final String scope;
+
+  /** The idempotency key together with the client that it belongs to, or null. */
+  final String scopedKey;
+
   final Request request;
   final boolean deferred;
   final long deadline;
   private final List<Consumer<Result>> waiters = new ArrayList<>(1);
   private Result result;
+
+  /** The call that runs this invocation, or null before it starts. */
   Call call;
 
   /**
-   * Whether somebody was told where to collect the result, though the call began as a synchronous
-   * one.
+   * Whether a client was given a location to fetch the result from, though the invocation began as
+   * a synchronous one.
    */
-  boolean promised;
+  boolean resultPromised;
+
+  /** The Vert.x timer of the queue timeout or of the retention, or -1. */
+  long timerId = -1;
 
-  long timer = -1;
   long endedAt;
 
-  Invocation(String id, String scope, Request request, boolean deferred, long deadline) {
+  Invocation(String id, String scopedKey, Request request, boolean deferred, long deadline) {
     this.id = id;
-    this.scope = scope;
+    this.scopedKey = scopedKey;
     this.request = request;
     this.deferred = deferred;
     this.deadline = deadline;
   }
 
+  /** The id under which clients fetch the result. */
   public String id() {
     return id;
   }
@@ -41,7 +52,7 @@
     return result;
   }
 
-  /** Hands the result over once it is there; at once if it is. */
+  /** Passes the result to {@code waiter} once it is there; at once if it is. */
   public void await(Consumer<Result> waiter) {
     if (result != null) {
       waiter.accept(result);
@@ -50,35 +61,40 @@
     }
   }
 
+  /** Removes a waiter that was added by {@link #await}. */
   public void removeWaiter(Consumer<Result> waiter) {
     waiters.remove(waiter);
   }
 
-  /** Whether the result is owed to somebody. */
-  boolean isOwed() {
-    return deferred || promised || !waiters.isEmpty();
+  /** Whether a client waits for the result or may still fetch it. */
+  boolean isAwaited() {
+    return deferred || resultPromised || !waiters.isEmpty();
   }
 
-  /** Guards against a second answer: the first stands. */
-  boolean end(Result r) {
+  /**
+   * Sets the result and notifies the waiters. Returns false, and changes nothing, where there is a
+   * result already.
+   */
+  boolean complete(Result value) {
     if (result != null) {
       return false;
     }
-    result = r;
-    List<Consumer<Result>> told = List.copyOf(waiters);
+    result = value;
+    List<Consumer<Result>> notified = List.copyOf(waiters);
     waiters.clear();
-    told.forEach(w -> w.accept(r));
+    notified.forEach(w -> w.accept(value));
     return true;
   }
 
-  /** Whether a request under the same key is the same call again. */
-  boolean isRepeat(Request r) {
-    return r.callClass() == request.callClass()
-        && r.function() == request.function()
-        && r.body().equals(request.body());
+  /** Whether a request with the same key is a retry of this one, rather than a different call. */
+  boolean isSameCall(Request other) {
+    return other.callClass() == request.callClass()
+        && other.function() == request.function()
+        && other.body().equals(request.body());
   }
 
-  int bytes() {
+  /** The size of the result's body. */
+  int resultBytes() {
     return result instanceof Result.Served s ? s.body().length() : 0;
   }
 }
--- a/src/main/java/umberrun/core/InvocationRegistry.java
+++ b/src/main/java/umberrun/core/InvocationRegistry.java
@@ -12,13 +12,13 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Synchronous and deferred calls over the owner. A deferred call waits in a bounded queue of its
- * own and only so many are in hand at once, so that synchronous calls find room however many pile
- * up. Under a key there is one invocation: a repeat joins it, and nothing is sent a second time by
- * it.
+ * Runs synchronous and deferred invocations through the dispatch loop. Deferred ones wait in a
+ * bounded queue of their own and only a limited number run at once, so that synchronous calls find
+ * room however many deferred ones pile up. An idempotency key names one invocation: a retry with
+ * the same key joins it and sends nothing to a worker.
  */
 public final class InvocationRegistry {
-  /** A key that was used for another call. */
+  /** Thrown where an idempotency key was already used for a different call. */
   public static final class KeyReused extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -28,225 +28,248 @@
   }
 
   /**
-   * Bounds: deferred calls that wait and that are in hand, results kept, their bytes, and for how
-   * long.
+   * Limits of the registry.
+   *
+   * @param queue deferred invocations that wait
+   * @param inFlight deferred invocations that run at once
+   * @param results completed invocations that are kept
+   * @param resultBytes total size of their results
+   * @param keepMillis how long a result is kept
    */
   public record Limits(int queue, int inFlight, int results, long resultBytes, long keepMillis) {}
 
-  private static final long FULL_BACKOFF_MILLIS = 1_000;
+  private static final long OVERLOAD_BACKOFF_MILLIS = 1_000;
 
   private final Vertx vertx;
   private final Clock clock;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Counters counters;
-  private final Limits bounds;
-  private final long window;
+  private final Limits limits;
+
+  /** The longest deduplication window of all call classes, in microseconds. */
+  private final long dedupWindow;
+
   private final Map<String, Invocation> byId = new HashMap<>();
   private final Map<String, Invocation> byKey = new HashMap<>();
   private final ArrayDeque<Invocation> queue = new ArrayDeque<>();
 
-  /** Those that have ended, the oldest first. */
-  private final LinkedHashSet<Invocation> ended = new LinkedHashSet<>();
+  /** Completed invocations, the oldest first. */
+  private final LinkedHashSet<Invocation> completed = new LinkedHashSet<>();
+
+  /** Deferred invocations that run. */
+  private int inFlight;
 
-  private int inHand;
-  private long bytes;
+  /** Total size of the results of completed invocations. */
+  private long resultBytes;
 
   public InvocationRegistry(
-      Vertx vertx, Clock clock, DispatchLoop owner, Counters counters, Limits bounds) {
+      Vertx vertx, Clock clock, DispatchLoop dispatchLoop, Counters counters, Limits limits) {
     this.vertx = vertx;
     this.clock = clock;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.counters = counters;
-    this.bounds = bounds;
-    this.window =
-        owner.settings().classes().stream().mapToLong(c -> c.dedupWindow()).max().orElse(0);
+    this.limits = limits;
+    this.dedupWindow =
+        dispatchLoop.settings().classes().stream().mapToLong(c -> c.dedupWindow()).max().orElse(0);
   }
 
   /**
-   * Takes a call, or joins the invocation that its key names.
+   * Starts or queues an invocation, or joins the one that has the same idempotency key.
    *
-   * @param client who the key belongs to: keys of different clients do not meet
+   * @param client the owner of the key: equal keys of different clients are different
+   * @throws KeyReused if the key was used for a different call
    */
   public Invocation submit(Request request, String client, boolean deferred) throws KeyReused {
-    String scope = request.key() == null ? null : client + '\n' + request.key();
-    Invocation before = scope == null ? null : byKey.get(scope);
-    if (before != null) {
-      if (!before.isRepeat(request)) {
+    String scopedKey = request.key() == null ? null : client + '\n' + request.key();
+    Invocation existing = scopedKey == null ? null : byKey.get(scopedKey);
+    if (existing != null) {
+      if (!existing.isSameCall(request)) {
         throw new KeyReused();
       }
       counters.add(Count.DEFERRED_JOINED);
       if (deferred) {
-        before.promised = true;
-        byId.put(before.id(), before);
+        existing.resultPromised = true;
+        byId.put(existing.id(), existing);
       }
-      if (before.call != null) {
-        before.call.attended(true);
+      if (existing.call != null) {
+        existing.call.setClientWaiting(true);
       }
-      return before;
+      return existing;
     }
-    Invocation i =
+    Invocation invocation =
         new Invocation(
-            UUID.randomUUID().toString(), scope, request, deferred, clock.now() + request.budget());
-    boolean full = deferred && queue.size() >= bounds.queue;
-    if (full || (deferred || scope != null) && !makeRoom()) {
+            UUID.randomUUID().toString(),
+            scopedKey,
+            request,
+            deferred,
+            clock.now() + request.budget());
+    boolean queueIsFull = deferred && queue.size() >= limits.queue;
+    if (queueIsFull || (deferred || scopedKey != null) && !makeRoom()) {
       counters.add(Count.DEFERRED_TURNED_AWAY);
-      i.end(new Result.Refused(FULL_BACKOFF_MILLIS, true));
-      return i;
+      invocation.complete(new Result.Refused(OVERLOAD_BACKOFF_MILLIS, true));
+      return invocation;
     }
-    if (scope != null) {
-      byKey.put(scope, i);
+    if (scopedKey != null) {
+      byKey.put(scopedKey, invocation);
     }
     if (!deferred) {
-      start(i);
-      return i;
+      start(invocation);
+      return invocation;
     }
     counters.add(Count.DEFERRED_TAKEN);
-    byId.put(i.id(), i);
-    queue.add(i);
-    // Guards against a call that waits here past its time: it never ran, so trying again does no
+    byId.put(invocation.id(), invocation);
+    queue.add(invocation);
+    // A call that is still queued at its deadline never ran, so it is refused: a retry does no
     // harm.
-    i.timer =
+    invocation.timerId =
         vertx.setTimer(
             Math.max(1, request.budget() / 1_000),
             t -> {
-              i.timer = -1;
-              if (queue.remove(i)) {
-                end(i, new Result.Refused(FULL_BACKOFF_MILLIS, false));
+              invocation.timerId = -1;
+              if (queue.remove(invocation)) {
+                complete(invocation, new Result.Refused(OVERLOAD_BACKOFF_MILLIS, false));
               }
             });
-    pump();
-    return i;
+    startQueued();
+    return invocation;
   }
 
+  /** The invocation with this id, or null. */
   public Invocation get(String id) {
     return byId.get(id);
   }
 
   /**
-   * The client wants the answer no more. What may have run keeps its key, so that a repeat is not
-   * sent again.
+   * Cancels an invocation on request of its client. One that may have run keeps its key, so that a
+   * retry is not sent again.
    */
-  public void cancel(Invocation i) {
-    if (i.result() != null) {
-      drop(i);
-    } else if (queue.remove(i)) {
-      end(i, new Result.Cancelled());
-      drop(i);
+  public void cancel(Invocation invocation) {
+    if (invocation.result() != null) {
+      discard(invocation);
+    } else if (queue.remove(invocation)) {
+      complete(invocation, new Result.Cancelled());
+      discard(invocation);
     } else {
-      owner.abandon(i.call);
-      over(i, new Result.Cancelled());
+      dispatchLoop.abandon(invocation.call);
+      finish(invocation, new Result.Cancelled());
     }
   }
 
   /**
-   * One who waited has gone. A call that nobody can ask for again is given up with the last of
-   * them; for one that a repeat may join nothing more is sent until that comes, and what is out may
-   * end.
+   * Removes a waiter that has gone. Once the last one has, a call without a key is abandoned, as
+   * nobody can ask for it again. For one with a key nothing more is sent until a retry joins it,
+   * and attempts in flight may finish.
    */
-  public void stopWaiting(Invocation i, Consumer<Result> waiter) {
-    i.removeWaiter(waiter);
-    if (i.isOwed() || i.result() != null) {
+  public void stopWaiting(Invocation invocation, Consumer<Result> waiter) {
+    invocation.removeWaiter(waiter);
+    if (invocation.isAwaited() || invocation.result() != null) {
       return;
     }
-    if (i.scope == null) {
-      owner.abandon(i.call);
-      over(i, new Result.Cancelled());
+    if (invocation.scopedKey == null) {
+      dispatchLoop.abandon(invocation.call);
+      finish(invocation, new Result.Cancelled());
     } else {
       counters.add(Count.CALLS_UNATTENDED);
-      i.call.attended(false);
+      invocation.call.setClientWaiting(false);
     }
   }
 
-  private void pump() {
-    while (inHand < bounds.inFlight && !queue.isEmpty()) {
-      Invocation i = queue.poll();
-      cancelTimer(i);
-      inHand++;
-      start(i);
+  private void startQueued() {
+    while (inFlight < limits.inFlight && !queue.isEmpty()) {
+      Invocation invocation = queue.poll();
+      cancelTimer(invocation);
+      inFlight++;
+      start(invocation);
     }
   }
 
-  private void start(Invocation i) {
-    Request r = i.request.withBudget(Math.max(1, i.deadline - clock.now()));
-    i.call =
-        owner.submit(
-            r,
+  private void start(Invocation invocation) {
+    Request request = invocation.request.withBudget(Math.max(1, invocation.deadline - clock.now()));
+    invocation.call =
+        dispatchLoop.submit(
+            request,
             new Reply() {
               @Override
               public void served(Buffer body) {
-                over(i, new Result.Served(body));
+                finish(invocation, new Result.Served(body));
               }
 
               @Override
               public void refused(long backoffMillis) {
-                over(i, new Result.Refused(backoffMillis, false));
+                finish(invocation, new Result.Refused(backoffMillis, false));
               }
 
               @Override
-              public void failed(boolean overdue) {
-                over(i, new Result.Failed(overdue));
+              public void failed(boolean timedOut) {
+                finish(invocation, new Result.Failed(timedOut));
               }
             });
   }
 
-  private void over(Invocation i, Result r) {
-    if (i.result() == null) {
-      if (i.deferred) {
-        inHand--;
+  private void finish(Invocation invocation, Result result) {
+    if (invocation.result() == null) {
+      if (invocation.deferred) {
+        inFlight--;
       }
-      end(i, r);
-      pump();
+      complete(invocation, result);
+      startQueued();
     }
   }
 
-  private void end(Invocation i, Result r) {
-    cancelTimer(i);
-    i.endedAt = clock.now();
-    if (r instanceof Result.Refused && i.scope != null) {
-      byKey.remove(i.scope, i); // it never ran: the same key may try anew
+  private void complete(Invocation invocation, Result result) {
+    cancelTimer(invocation);
+    invocation.endedAt = clock.now();
+    if (result instanceof Result.Refused && invocation.scopedKey != null) {
+      // It never ran, so a retry with the same key starts a new invocation.
+      byKey.remove(invocation.scopedKey, invocation);
     }
-    if (i.end(r) && (i.deferred || i.scope != null)) {
-      bytes += i.bytes();
-      ended.add(i);
-      i.timer = vertx.setTimer(bounds.keepMillis, t -> drop(i));
+    if (invocation.complete(result) && (invocation.deferred || invocation.scopedKey != null)) {
+      resultBytes += invocation.resultBytes();
+      completed.add(invocation);
+      invocation.timerId = vertx.setTimer(limits.keepMillis, t -> discard(invocation));
     }
   }
 
-  /** Guards the memory; but what the workers may still take a repeat of keeps its key. */
+  /**
+   * Discards the oldest results until there is room for another. Returns false where the oldest
+   * must keep its key, as a retry within the deduplication window would otherwise be sent anew.
+   */
   private boolean makeRoom() {
-    while (!ended.isEmpty() && (ended.size() >= bounds.results || bytes >= bounds.resultBytes)) {
-      Invocation oldest = ended.iterator().next();
-      if (clock.now() - oldest.endedAt < window) {
+    while (!completed.isEmpty()
+        && (completed.size() >= limits.results || resultBytes >= limits.resultBytes)) {
+      Invocation oldest = completed.iterator().next();
+      if (clock.now() - oldest.endedAt < dedupWindow) {
         return false;
       }
-      drop(oldest);
+      discard(oldest);
     }
     return true;
   }
 
-  private void drop(Invocation i) {
-    cancelTimer(i);
-    byId.remove(i.id(), i);
-    if (i.scope != null
-        && clock.now() - i.endedAt < window
-        && !(i.result() instanceof Result.Refused)
-        && i.call != null) {
-      long left = window - (clock.now() - i.endedAt);
-      i.timer = vertx.setTimer(left / 1_000 + 1, t -> drop(i));
-      return; // the key stays bound while a worker might run a repeat
+  private void discard(Invocation invocation) {
+    cancelTimer(invocation);
+    byId.remove(invocation.id(), invocation);
+    if (invocation.scopedKey != null
+        && clock.now() - invocation.endedAt < dedupWindow
+        && !(invocation.result() instanceof Result.Refused)
+        && invocation.call != null) {
+      // The key stays bound through the deduplication window, so that no retry is sent to a worker.
+      long remaining = dedupWindow - (clock.now() - invocation.endedAt);
+      invocation.timerId = vertx.setTimer(remaining / 1_000 + 1, t -> discard(invocation));
+      return;
     }
-    if (i.scope != null) {
-      byKey.remove(i.scope, i);
+    if (invocation.scopedKey != null) {
+      byKey.remove(invocation.scopedKey, invocation);
     }
-    if (ended.remove(i)) {
-      bytes -= i.bytes();
+    if (completed.remove(invocation)) {
+      resultBytes -= invocation.resultBytes();
     }
   }
 
-  private void cancelTimer(Invocation i) {
-    if (i.timer >= 0) {
-      vertx.cancelTimer(i.timer);
-      i.timer = -1;
+  private void cancelTimer(Invocation invocation) {
+    if (invocation.timerId >= 0) {
+      vertx.cancelTimer(invocation.timerId);
+      invocation.timerId = -1;
     }
   }
 }
--- a/src/main/java/umberrun/core/LagMeter.java
+++ b/src/main/java/umberrun/core/LagMeter.java
@@ -3,12 +3,12 @@
 import io.vertx.core.Vertx;
 
 /**
- * How late this machine is: by how much a beat of the library's timer comes after its time. What a
- * client has written waits as long before it is read, and no other clock shows that.
+ * Measures how late this process runs: by how much a timer of the event loop fires after its due
+ * time. What a client has written waits as long before it is read, which no other clock shows.
  */
 final class LagMeter {
-  private static final long BEAT_MILLIS = 10;
-  private static final double FADE = 0.6;
+  private static final long SAMPLE_INTERVAL_MILLIS = 10;
+  private static final double DECAY_PER_SAMPLE = 0.6;
 
   private final Vertx vertx;
   private final Clock clock;
@@ -18,26 +18,26 @@
   LagMeter(Vertx vertx, Clock clock) {
     this.vertx = vertx;
     this.clock = clock;
-    next();
+    scheduleSample();
   }
 
   /**
-   * Each beat sets the next: the library makes up for missed ones of a steady timer at once, and
-   * the lateness would fade with each.
+   * Schedules the next sample. A periodic timer would not do: Vert.x fires its missed ticks in a
+   * burst, and each of them would decay the measured lag.
    */
-  private void next() {
-    dueAt = clock.now() + BEAT_MILLIS * 1_000;
-    vertx.setTimer(BEAT_MILLIS, t -> beat());
+  private void scheduleSample() {
+    dueAt = clock.now() + SAMPLE_INTERVAL_MILLIS * 1_000;
+    vertx.setTimer(SAMPLE_INTERVAL_MILLIS, t -> sample());
   }
 
-  private void beat() {
-    lag = Math.max(FADE * lag, clock.now() - dueAt);
-    next();
+  private void sample() {
+    lag = Math.max(DECAY_PER_SAMPLE * lag, clock.now() - dueAt);
+    scheduleSample();
   }
 
   /**
-   * The worst lateness of the last moments, fading, in microseconds; also of a beat that is overdue
-   * now.
+   * The largest recent lag in microseconds, decaying with time. Includes the delay of a sample that
+   * is overdue now.
    */
   long lag() {
     return (long) Math.max(lag, clock.now() - dueAt);
--- a/src/main/java/umberrun/core/Lifecycle.java
+++ b/src/main/java/umberrun/core/Lifecycle.java
@@ -1,12 +1,12 @@
 package umberrun.core;
 
 /**
- * What this process owes its clients at a moment: it serves, is drained by hand, leaves, or hands
- * over to a successor at the same address. Free of I/O; times are in microseconds of one clock that
- * never goes back.
+ * The lifecycle of this process as its clients see it: it serves, is drained by an operator, shuts
+ * down, or hands over to a successor at the same address. Free of I/O; times are microseconds of
+ * one monotonic clock.
  */
 public final class Lifecycle {
-  /** The states. A process that leaves or hands over never comes back from it. */
+  /** The states. {@code LEAVING} and {@code HANDING_OVER} are final. */
   public enum State {
     STARTING,
     SERVING,
@@ -16,58 +16,67 @@
   }
 
   /**
-   * The front in front of us asks ten times a second and sends no new connections 0.2 s after a no.
+   * How long new connections may still come after a drain. The balancer in front of us polls health
+   * ten times a second and sends no new connections 0.2 s after a negative answer.
    */
-  private static final long HEARD_NO = 400_000;
+  private static final long DRAIN_NOTICE_MICROS = 400_000;
 
-  /** After SIGTERM connections and calls keep coming for at most this long. */
-  private static final long STILL_COMING = 700_000;
+  /** After SIGTERM, connections and calls keep arriving for at most this long. */
+  private static final long ARRIVAL_GRACE_MICROS = 700_000;
 
   /**
-   * A connection with a call of the last 2 s is held against a drained front end 4 s after the
-   * drain.
+   * How long after a drain calls are accepted. From 4 s after a drain, a connection with a call
+   * within the last 2 s counts as a violation by the front end.
    */
-  private static final long DRAINED_TAKES = 1_900_000;
+  private static final long DRAIN_ACCEPT_MICROS = 1_900_000;
 
-  private static final long DRAINED_ENDS = 3_200_000;
+  /** How long after a drain connections that still send calls are closed, before those 4 s. */
+  private static final long DRAIN_CLOSE_MICROS = 3_200_000;
 
   /**
-   * A process that was told to end is killed after the longest deadline, counted as this at most,
-   * and 0.7 s.
+   * The longest class deadline that counts at shutdown: the process is killed after that deadline,
+   * capped at this value, plus 0.7 s.
    */
-  private static final long LONGEST_COUNTED = 3_000_000;
+  private static final long MAX_COUNTED_DEADLINE_MICROS = 3_000_000;
 
-  /** Before that, what is still open gets an answer. */
-  private static final long ENDS_EARLY = 250_000;
+  /** How long before it would be killed the process answers the calls that are still open. */
+  private static final long SHUTDOWN_MARGIN_MICROS = 250_000;
 
   private final long shutdownGrace;
   private State state = State.STARTING;
-  private long since;
+  private long enteredAt;
 
   /**
-   * @param longestDeadline of all classes
+   * @param longestDeadline the longest deadline of all call classes, in microseconds
    */
   public Lifecycle(long longestDeadline) {
-    this.shutdownGrace = Math.min(longestDeadline, LONGEST_COUNTED) + STILL_COMING - ENDS_EARLY;
+    this.shutdownGrace =
+        Math.min(longestDeadline, MAX_COUNTED_DEADLINE_MICROS)
+            + ARRIVAL_GRACE_MICROS
+            - SHUTDOWN_MARGIN_MICROS;
   }
 
-  /** How long a process that was told to end still has. */
+  /** How long after the start of a shutdown open calls may run, in microseconds. */
   public long shutdownGrace() {
     return shutdownGrace;
   }
 
+  /** The current state. */
   public State state() {
     return state;
   }
 
-  /** Calls are welcome from now on, unless the process was told otherwise meanwhile. */
+  /** Starts accepting calls, unless a shutdown has begun meanwhile. */
   public void serve(long now) {
     if (state == State.STARTING) {
       enter(State.SERVING, now);
     }
   }
 
-  /** Told by hand to take no clients. Told again, the first time counts. */
+  /**
+   * Drains the process on request of an operator. Returns whether it is drained; a repeated drain
+   * keeps the time of the first.
+   */
   public boolean drain(long now) {
     if (state == State.SERVING) {
       enter(State.DRAINED, now);
@@ -76,7 +85,8 @@
   }
 
   /**
-   * Told by hand to take clients again, also in the middle of a drain; a process that ends can't.
+   * Ends a drain on request of an operator, also while connections are being closed. Returns
+   * whether the process serves; one that shuts down does not go back to serving.
    */
   public boolean activate(long now) {
     if (state == State.DRAINED) {
@@ -85,53 +95,60 @@
     return state == State.SERVING;
   }
 
-  /** Told to end; {@code succeeded} where another process takes the clients at the same address. */
+  /**
+   * Starts the shutdown.
+   *
+   * @param succeeded whether another process takes over the clients at the same address
+   */
   public void shutDown(long now, boolean succeeded) {
     if (state != State.LEAVING && state != State.HANDING_OVER) {
       enter(succeeded ? State.HANDING_OVER : State.LEAVING, now);
     }
   }
 
-  private void enter(State next, long now) {
-    state = next;
-    since = now;
+  private void enter(State newState, long now) {
+    state = newState;
+    enteredAt = now;
   }
 
-  /** Whether this process itself says that it is ready. */
+  /** Whether this process itself is ready to serve. */
   public boolean isReady() {
     return state == State.SERVING;
   }
 
   /**
-   * Whether heartbeats say yes: while handing over they do, since the front end as a whole takes
+   * Whether health checks pass. They do during a handover, since the front end as a whole accepts
    * clients.
    */
   public boolean isHealthy() {
     return state == State.SERVING || state == State.HANDING_OVER;
   }
 
-  /** Whether connections are let go of as soon as nothing is open on them. */
+  /** Whether connections are closed as soon as no call is open on them. */
   public boolean closesIdleConnections(long now) {
-    return state == State.HANDING_OVER || state == State.DRAINED && now - since >= HEARD_NO;
+    return state == State.HANDING_OVER
+        || state == State.DRAINED && now - enteredAt >= DRAIN_NOTICE_MICROS;
   }
 
-  /** Whether a call on a connection that is still open is taken; else it is refused. */
+  /** Whether calls on open connections are accepted; otherwise they are refused. */
   public boolean acceptsCalls(long now) {
     return switch (state) {
-      case DRAINED -> now - since < DRAINED_TAKES;
-      case HANDING_OVER -> now - since < STILL_COMING;
+      case DRAINED -> now - enteredAt < DRAIN_ACCEPT_MICROS;
+      case HANDING_OVER -> now - enteredAt < ARRIVAL_GRACE_MICROS;
       default -> true;
     };
   }
 
   /**
-   * Whether a connection whose last call came at {@code lastCall} is ended with whatever is open on
-   * it.
+   * Whether a connection is closed even with calls open on it.
+   *
+   * @param lastCall when the last call came on that connection
    */
   public boolean closesBusyConnection(long now, long lastCall) {
     return switch (state) {
-      case DRAINED -> now - since >= DRAINED_ENDS && lastCall - since >= DRAINED_TAKES;
-      case LEAVING, HANDING_OVER -> now - since >= shutdownGrace;
+      case DRAINED ->
+          now - enteredAt >= DRAIN_CLOSE_MICROS && lastCall - enteredAt >= DRAIN_ACCEPT_MICROS;
+      case LEAVING, HANDING_OVER -> now - enteredAt >= shutdownGrace;
       default -> false;
     };
   }
--- a/src/main/java/umberrun/core/PreloadRequest.java
+++ b/src/main/java/umberrun/core/PreloadRequest.java
@@ -3,48 +3,58 @@
 import io.vertx.core.buffer.Buffer;
 import saddlestall.Dispatcher.OutcomeCode;
 
-/** One order to hold copies; ends once. */
+/**
+ * A request to a worker to load copies of a function and keep them loaded. It completes exactly
+ * once.
+ */
 public final class PreloadRequest {
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final int worker;
   final long function;
   private final Buffer functionBytes;
   private final int copies;
-  final long givenAt;
-  private boolean ended;
+  final long sentAt;
+  private boolean completed;
 
   PreloadRequest(
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       int worker,
       long function,
       Buffer functionBytes,
       int copies,
-      long givenAt) {
-    this.owner = owner;
+      long sentAt) {
+    this.dispatchLoop = dispatchLoop;
     this.worker = worker;
     this.function = function;
     this.functionBytes = functionBytes;
     this.copies = copies;
-    this.givenAt = givenAt;
+    this.sentAt = sentAt;
   }
 
+  /** The number of the worker. */
   public int worker() {
     return worker;
   }
 
+  /** The function as clients write it. */
   public Buffer function() {
     return functionBytes;
   }
 
+  /** How many copies the worker should hold. */
   public int copies() {
     return copies;
   }
 
-  /** Guards, as for an attempt, against a second end. */
-  public void complete(OutcomeCode code, int standing) {
-    if (!ended) {
-      ended = true;
-      owner.post(() -> owner.preloadEnded(this, code, standing));
+  /**
+   * Completes the request; only the first result counts, as for an {@link Attempt}.
+   *
+   * @param loadedCopies how many copies the worker reports as loaded
+   */
+  public void complete(OutcomeCode code, int loadedCopies) {
+    if (!completed) {
+      completed = true;
+      dispatchLoop.post(() -> dispatchLoop.preloadEnded(this, code, loadedCopies));
     }
   }
 }
--- a/src/main/java/umberrun/core/Reply.java
+++ b/src/main/java/umberrun/core/Reply.java
@@ -2,14 +2,22 @@
 
 import io.vertx.core.buffer.Buffer;
 
-/** Where the one final answer of a call goes. Exactly one of these is called, once. */
+/** Receives the final answer of a call. Exactly one of these methods is called, once. */
 public interface Reply {
-  /** The worker's bytes, unchanged. */
+  /**
+   * The call was served.
+   *
+   * @param body the worker's bytes, unchanged
+   */
   void served(Buffer body);
 
-  /** Not done: trying again does no harm, best after so many milliseconds. */
+  /** The call did not run, so a retry does no harm, preferably after {@code backoffMillis}. */
   void refused(long backoffMillis);
 
-  /** Not served, nothing promised; {@code overdue} where the time was up. */
-  void failed(boolean overdue);
+  /**
+   * The call was not served and may have run.
+   *
+   * @param timedOut whether its deadline has passed
+   */
+  void failed(boolean timedOut);
 }
--- a/src/main/java/umberrun/core/Request.java
+++ b/src/main/java/umberrun/core/Request.java
@@ -3,14 +3,17 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * A client's call as a front has decoded it. What goes on unchanged is kept as the bytes that came;
- * the rest are the fields that decisions need.
+ * A client's call as a front has decoded it. What is passed on unchanged is kept as the bytes that
+ * were received; the other fields serve decisions.
  *
- * @param requestId the id under which the worker is asked
- * @param functionBytes the function as the client wrote it; {@code function} is the same as a
- *     number
+ * @param requestId the id under which the worker is called
+ * @param callClass index of the call class in the settings
+ * @param tenant index of the tenant in the settings
+ * @param functionBytes the function as the client wrote it
+ * @param function the function as a number, for comparisons
  * @param key the idempotency key, or null
  * @param budget how long the client waits from now on, in microseconds
+ * @param retry whether the client marks the call as a retry
  */
 public record Request(
     Buffer requestId,
@@ -25,14 +28,19 @@
     Buffer body) {
 
   /**
-   * The further figures of a call: lanes and memory of a copy, usual time of a load in
-   * microseconds.
+   * Resource needs of a call.
+   *
+   * @param lanes execution slots of a worker that a copy occupies
+   * @param memoryMb memory of a copy
+   * @param loadTime usual time to load a copy, in microseconds
    */
   public record ResourceHints(double lanes, double memoryMb, long loadTime) {
+    /** The hints of a call that carries none. */
     public static final ResourceHints NONE = new ResourceHints(1, 0, 0);
   }
 
-  Request withBudget(long left) {
+  /** This request with another budget, in microseconds. */
+  Request withBudget(long remaining) {
     return new Request(
         requestId,
         callClass,
@@ -40,7 +48,7 @@
         functionBytes,
         function,
         key,
-        left,
+        remaining,
         retry,
         resourceHints,
         body);
--- a/src/main/java/umberrun/core/Result.java
+++ b/src/main/java/umberrun/core/Result.java
@@ -4,15 +4,27 @@
 
 /** How an invocation ended. */
 public sealed interface Result {
-  /** The worker's bytes, unchanged. */
+  /**
+   * Served.
+   *
+   * @param body the worker's bytes, unchanged
+   */
   record Served(Buffer body) implements Result {}
 
-  /** Never run; {@code overloaded} where it was not taken at all. */
+  /**
+   * Not run.
+   *
+   * @param overloaded whether it was refused at once for lack of room
+   */
   record Refused(long backoffMillis, boolean overloaded) implements Result {}
 
-  /** May have run; {@code timedOut} where the time was up. */
+  /**
+   * Failed, and may have run.
+   *
+   * @param timedOut whether its deadline has passed
+   */
   record Failed(boolean timedOut) implements Result {}
 
-  /** Its client gave it up. */
+  /** Cancelled by its client. */
   record Cancelled() implements Result {}
 }
--- a/src/main/java/umberrun/core/WorkerLeaseView.java
+++ b/src/main/java/umberrun/core/WorkerLeaseView.java
@@ -1,16 +1,16 @@
 package umberrun.core;
 
 /**
- * What the connections to workers ask and tell of leases; see {@link
+ * What connections to workers need of the leases of workers; see {@link
  * umberrun.discovery.WorkerLeases}.
  */
 public interface WorkerLeaseView {
   /**
-   * Until when new work may be written to a worker as far as contact with discovery goes, in
-   * microseconds on the owner's clock.
+   * Until when new work may be written to a worker as far as contact with discovery goes, in Unix
+   * microseconds of the dispatch loop's {@link Clock}.
    */
   long leaseUntil(int worker);
 
-  /** A worker's address refused a connection. */
+  /** Reports that a worker's address refused a connection. */
   void onConnectionRefused(int worker);
 }
--- a/src/main/java/umberrun/core/WorkerProbe.java
+++ b/src/main/java/umberrun/core/WorkerProbe.java
@@ -3,42 +3,47 @@
 import java.util.function.Consumer;
 import saddlestall.Dispatcher.OutcomeCode;
 
-/** One probe of a worker; ends once. */
+/** A probe of a worker's health. It completes exactly once. */
 public final class WorkerProbe {
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final int worker;
-  final long askedAt;
-  private final Consumer<OutcomeCode> then;
-  private boolean ended;
+  final long sentAt;
+  private final Consumer<OutcomeCode> callback;
+  private boolean completed;
 
-  WorkerProbe(DispatchLoop owner, int worker, long askedAt) {
-    this(owner, worker, askedAt, null);
+  WorkerProbe(DispatchLoop dispatchLoop, int worker, long sentAt) {
+    this(dispatchLoop, worker, sentAt, null);
   }
 
   /**
-   * @param then is told of the end in the place of the module, or null
+   * @param callback receives the outcome in place of the dispatcher, or null
    */
-  WorkerProbe(DispatchLoop owner, int worker, long askedAt, Consumer<OutcomeCode> then) {
-    this.owner = owner;
+  WorkerProbe(DispatchLoop dispatchLoop, int worker, long sentAt, Consumer<OutcomeCode> callback) {
+    this.dispatchLoop = dispatchLoop;
     this.worker = worker;
-    this.askedAt = askedAt;
-    this.then = then;
+    this.sentAt = sentAt;
+    this.callback = callback;
   }
 
+  /** The number of the worker. */
   public int worker() {
     return worker;
   }
 
-  /** Guards, as for an attempt, against a second end. */
+  /**
+   * Completes the probe; only the first result counts, as for an {@link Attempt}.
+   *
+   * @param report the load report of the worker, or null
+   */
   public void complete(OutcomeCode code, float[] report) {
-    if (!ended) {
-      ended = true;
-      owner.post(
+    if (!completed) {
+      completed = true;
+      dispatchLoop.post(
           () -> {
-            if (then != null) {
-              then.accept(code);
+            if (callback != null) {
+              callback.accept(code);
             } else {
-              owner.probeEnded(this, code, report);
+              dispatchLoop.probeEnded(this, code, report);
             }
           });
     }
--- a/src/main/java/umberrun/core/WorkerSuspensions.java
+++ b/src/main/java/umberrun/core/WorkerSuspensions.java
@@ -9,23 +9,23 @@
 import saddlestall.Dispatcher.WorkerState;
 
 /**
- * What operators have said of workers by hand, laid over what the list says of them. Free of I/O;
- * times are in microseconds. A ban outlives whatever the list says, also that the worker is gone or
- * back.
+ * The suspensions of workers by operators and by plans of the fleet, applied on top of the worker
+ * list. A suspension persists whatever the list says, also while the worker is gone or back. Free
+ * of I/O; times are Unix microseconds.
  */
 final class WorkerSuspensions {
   /**
-   * What holds for a worker.
+   * The state that holds for a worker.
    *
    * @param stopAt from when on nothing new is written to it, {@link #NEVER} while it may get work
-   * @param startedAt when it last started, 0 for long past
+   * @param startedAt when it last started, 0 for long ago
    */
   record EffectiveState(WorkerState state, long stopAt, long startedAt) {
-    /** The same for a worker of which nobody knows by now whether it drains. */
-    EffectiveState heldBack(long leaseEnds) {
+    /** The same for a worker whose lease has ended, as it may have begun to drain unnoticed. */
+    EffectiveState heldBack(long leaseUntil) {
       return new EffectiveState(
           state == WorkerState.READY ? WorkerState.DRAINING : state,
-          Math.min(stopAt, leaseEnds),
+          Math.min(stopAt, leaseUntil),
           startedAt);
     }
   }
@@ -33,65 +33,76 @@
   static final long NEVER = Long.MAX_VALUE;
 
   /**
-   * Part of a drain's grace left unused: the way to the worker takes time, and a pause of ours must
-   * not matter.
+   * Part of a drain's grace that is left unused, to allow for the way to the worker and for a pause
+   * of this process.
    */
-  private static final long DRAIN_EARLY = 200_000;
+  private static final long DRAIN_MARGIN_MICROS = 200_000;
 
-  private final long grace;
-  private Map<String, Long> out = new HashMap<>();
-  private Map<String, Long> back = new HashMap<>();
+  private final long usableGrace;
 
-  /** Out by plans of the whole fleet, a set beside what operators say at this front end's door. */
-  private Map<String, Long> settled = new HashMap<>();
+  /** Workers that operators have suspended, and when. */
+  private Map<String, Long> suspendedAt = new HashMap<>();
+
+  /** Workers whose suspension has ended, and when. */
+  private Map<String, Long> resumedAt = new HashMap<>();
+
+  /**
+   * Workers that plans of the fleet have suspended, and when; separate from what operators of this
+   * front end suspend.
+   */
+  private Map<String, Long> plannedAt = new HashMap<>();
 
   /**
-   * @param drainGrace how long after the list's word work may still go to a worker that drains
+   * @param drainGrace how long work may still go to a worker after the list reported its drain
    */
   WorkerSuspensions(long drainGrace) {
-    this.grace = Math.max(0, drainGrace - DRAIN_EARLY);
+    this.usableGrace = Math.max(0, drainGrace - DRAIN_MARGIN_MICROS);
   }
 
-  /** What of the grace is used. */
-  long grace() {
-    return grace;
+  /** The part of the drain grace that is used. */
+  long usableGrace() {
+    return usableGrace;
   }
 
-  /** Takes a worker out; said again, the first time counts. */
+  /** Suspends a worker. A repeated suspension keeps the time of the first. */
   void suspend(String worker, long now) {
-    out.putIfAbsent(worker, now);
-    back.remove(worker);
+    suspendedAt.putIfAbsent(worker, now);
+    resumedAt.remove(worker);
   }
 
   /**
-   * Ends a ban, however often it was called for. The worker was restarted meanwhile, so it counts
-   * as new.
+   * Ends the suspension of a worker, however often it was suspended. The worker was restarted
+   * meanwhile, so it counts as newly started.
    */
   void resume(String worker, long now) {
-    if (out.remove(worker) != null) {
-      back.put(worker, now);
+    if (suspendedAt.remove(worker) != null) {
+      resumedAt.put(worker, now);
     }
   }
 
-  /** Those that are out, and since when. */
-  Map<String, Long> out() {
-    return Collections.unmodifiableMap(out);
+  /** The workers that operators have suspended, and when. */
+  Map<String, Long> suspendedAt() {
+    return Collections.unmodifiableMap(suspendedAt);
   }
 
-  boolean isOut(String worker) {
-    return out.containsKey(worker);
+  /** Whether an operator has suspended the worker. */
+  boolean isSuspended(String worker) {
+    return suspendedAt.containsKey(worker);
   }
 
-  /** The whole as another process has written it; the names for which that changes anything. */
-  Set<String> replace(Map<String, Long> nowOut, Map<String, Long> nowBack) {
-    Set<String> changed = changed(out, nowOut);
-    changed.addAll(changed(back, nowBack));
-    out = new HashMap<>(nowOut);
-    back = new HashMap<>(nowBack);
+  /**
+   * Replaces all suspensions by operators with those that another process has recorded. Returns the
+   * names of workers for which this changes anything.
+   */
+  Set<String> replace(Map<String, Long> suspensions, Map<String, Long> resumptions) {
+    Set<String> changed = changedNames(suspendedAt, suspensions);
+    changed.addAll(changedNames(resumedAt, resumptions));
+    suspendedAt = new HashMap<>(suspensions);
+    resumedAt = new HashMap<>(resumptions);
     return changed;
   }
 
-  private static Set<String> changed(Map<String, Long> before, Map<String, Long> after) {
+  private static Set<String> changedNames(Map<String, Long> before, Map<String, Long> after) {
     Set<String> names = new HashSet<>(before.keySet());
     names.addAll(after.keySet());
     names.removeIf(name -> Objects.equals(before.get(name), after.get(name)));
@@ -99,35 +110,41 @@
   }
 
   /**
-   * What plans have out from now on, whatever was out by them before; the names for which that
-   * changes anything.
+   * Replaces the suspensions by plans. Returns the names of workers for which this changes
+   * anything.
    *
-   * @param cold of those that were out, the ones that were worked on and count as new
+   * @param suspendedNames all workers that plans suspend from now on
+   * @param cold workers that were serviced; those whose suspension ends count as newly started
    */
-  Set<String> settle(Set<String> nowOut, Set<String> cold, long now) {
-    Map<String, Long> next = new HashMap<>();
-    nowOut.forEach(name -> next.put(name, settled.getOrDefault(name, now)));
-    Set<String> changed = changed(settled, next);
-    settled.keySet().stream()
-        .filter(n -> !next.containsKey(n) && cold.contains(n))
-        .forEach(n -> back.put(n, now));
-    settled = next;
+  Set<String> replacePlanned(Set<String> suspendedNames, Set<String> cold, long now) {
+    Map<String, Long> planned = new HashMap<>();
+    suspendedNames.forEach(name -> planned.put(name, plannedAt.getOrDefault(name, now)));
+    Set<String> changed = changedNames(plannedAt, planned);
+    plannedAt.keySet().stream()
+        .filter(name -> !planned.containsKey(name) && cold.contains(name))
+        .forEach(name -> resumedAt.put(name, now));
+    plannedAt = planned;
     return changed;
   }
 
   /**
-   * What holds for a worker of which the list said this, for the first time at {@code toldAt} (0:
-   * it is ready).
+   * The state that holds for a worker.
+   *
+   * @param listed its state on the list
+   * @param reportedAt when the list first reported that it drains or is gone, 0 while it is ready
+   * @param startedAt when it last started as far as the list says
    */
-  EffectiveState over(String worker, WorkerState listed, long toldAt, long since) {
-    long drained = toldAt == 0 ? NEVER : toldAt + grace;
-    Long outAt = out.getOrDefault(worker, settled.get(worker));
-    if (outAt != null) {
+  EffectiveState effectiveState(
+      String worker, WorkerState listed, long reportedAt, long startedAt) {
+    long drainEnds = reportedAt == 0 ? NEVER : reportedAt + usableGrace;
+    Long suspensionStart = suspendedAt.getOrDefault(worker, plannedAt.get(worker));
+    if (suspensionStart != null) {
       return new EffectiveState(
           listed == WorkerState.READY ? WorkerState.DRAINING : listed,
-          Math.min(drained, outAt),
-          since);
+          Math.min(drainEnds, suspensionStart),
+          startedAt);
     }
-    return new EffectiveState(listed, drained, Math.max(since, back.getOrDefault(worker, 0L)));
+    return new EffectiveState(
+        listed, drainEnds, Math.max(startedAt, resumedAt.getOrDefault(worker, 0L)));
   }
 }
--- a/src/main/java/umberrun/core/WorkerTable.java
+++ b/src/main/java/umberrun/core/WorkerTable.java
@@ -8,70 +8,82 @@
 import java.util.zip.CRC32;
 import saddlestall.Dispatcher.WorkerState;
 
-/** The table of workers: the number that the module knows each by, and what was last told of it. */
+/** The listed workers, each with the number by which the dispatcher knows it. */
 final class WorkerTable {
   /**
-   * A worker as last told; {@code toldAt} is when it was first told to drain or be gone, 0 while
-   * ready.
+   * A listed worker.
+   *
+   * @param drainReportedAt when it was first reported as draining or gone, in Unix microseconds; 0
+   *     while ready
    */
-  record Entry(int id, Endpoint endpoint, long toldAt) {}
+  record Entry(int id, Endpoint endpoint, long drainReportedAt) {}
 
-  /** Names kept of workers that are gone, so that operators can speak of them. */
-  private static final int MOST_NAMES = 16_384;
+  /** How many names are remembered, so that operators can also name workers that are gone. */
+  private static final int MAX_REMEMBERED_NAMES = 16_384;
 
   private final Map<String, Entry> byName = new HashMap<>();
-  private final Map<Integer, String> names = new HashMap<>();
+  private final Map<Integer, String> namesById = new HashMap<>();
   private final Set<String> everListed =
-      Collections.newSetFromMap(new BoundedMap<>(MOST_NAMES, false));
+      Collections.newSetFromMap(new BoundedMap<>(MAX_REMEMBERED_NAMES, false));
 
-  /** Takes in one line of the list. */
-  Entry tell(Endpoint e, long now) {
-    Entry before = byName.get(e.name());
-    long toldAt =
-        e.state() == WorkerState.READY
+  /** Adds or updates a worker. */
+  Entry put(Endpoint endpoint, long now) {
+    Entry previous = byName.get(endpoint.name());
+    long drainReportedAt =
+        endpoint.state() == WorkerState.READY
             ? 0
-            : before == null || before.toldAt == 0 ? now : before.toldAt;
-    Entry after = new Entry(before == null ? number(e.name()) : before.id, e, toldAt);
-    byName.put(e.name(), after);
-    everListed.add(e.name());
-    return after;
+            : previous == null || previous.drainReportedAt == 0 ? now : previous.drainReportedAt;
+    Entry updated =
+        new Entry(
+            previous == null ? assignId(endpoint.name()) : previous.id, endpoint, drainReportedAt);
+    byName.put(endpoint.name(), updated);
+    everListed.add(endpoint.name());
+    return updated;
   }
 
+  /** All listed workers. */
   Iterable<Entry> all() {
     return byName.values();
   }
 
-  /** The numbers of all that are on the list. */
+  /** The numbers of all listed workers. */
   Iterable<Integer> ids() {
-    return Collections.unmodifiableSet(names.keySet());
+    return Collections.unmodifiableSet(namesById.keySet());
   }
 
-  /** A worker by its name, or null where it is not on the list now. */
+  /** The worker with this name, or null where it is not listed. */
   Entry find(String name) {
     return byName.get(name);
   }
 
-  /** A worker by its number, or null where it is not on the list now. */
+  /** The worker with this number, or null where it is not listed. */
   Entry find(int id) {
-    return byName.get(names.get(id));
+    return byName.get(namesById.get(id));
   }
 
+  /** Whether a worker of this name is listed or was so before. */
   boolean wasListed(String name) {
     return everListed.contains(name);
   }
 
-  /** Lets go of one that is gone, as names never come back with the same number by chance alone. */
-  void forget(Entry gone) {
-    byName.remove(gone.endpoint.name());
-    names.remove(gone.id);
+  /**
+   * Removes a worker that is gone. Nothing need be kept for its return, as its number follows from
+   * its name.
+   */
+  void remove(Entry entry) {
+    byName.remove(entry.endpoint.name());
+    namesById.remove(entry.id);
   }
 
-  /** A hash of the name, since front ends that share nothing must place functions alike. */
-  private int number(String name) {
+  /**
+   * The CRC-32 of the name, or the next free number after it where two names share one. A hash,
+   * since front ends that share no state must place functions alike.
+   */
+  private int assignId(String name) {
     CRC32 crc = new CRC32();
     crc.update(name.getBytes(StandardCharsets.UTF_8));
     int id = (int) crc.getValue();
-    while (names.putIfAbsent(id, name) != null) { // guards against two names with one hash
+    while (namesById.putIfAbsent(id, name) != null) {
       id++;
     }
     return id;
--- a/src/main/java/umberrun/core/WorkerTransport.java
+++ b/src/main/java/umberrun/core/WorkerTransport.java
@@ -4,33 +4,47 @@
 import saddlestall.Dispatcher.CopyStatus;
 import saddlestall.Dispatcher.OutcomeCode;
 
-/** The way to the workers. Each thing handed over ends once, through the owner's queue. */
+/**
+ * Sends commands to workers. Each attempt, preload request and probe that is handed over completes
+ * exactly once, through the queue of the dispatch loop.
+ */
 public interface WorkerTransport {
   /**
-   * News of a worker; {@code stopAt} is from when on nothing new may be written to it, the greatest
-   * long for never.
+   * Updates the address and state of a worker.
+   *
+   * @param stopAt from when on nothing new may be written to it, in Unix microseconds; {@link
+   *     Long#MAX_VALUE} for never
    */
   void update(int worker, Endpoint endpoint, long stopAt);
 
+  /** Sends an attempt. */
   void run(Attempt attempt);
 
+  /** Cancels an attempt, where the worker still runs it. */
   void cancel(Attempt attempt);
 
-  void preload(PreloadRequest order);
+  /** Asks a worker to load copies of a function. */
+  void preload(PreloadRequest request);
 
-  void probe(WorkerProbe probing);
+  /** Probes a worker. */
+  void probe(WorkerProbe probe);
 
-  /** Unloads a function's idle copies; nothing is heard of it. */
+  /** Unloads the idle copies of a function; the result is not reported. */
   void unload(int worker, Buffer function);
 
+  /** Closes idle connections to a worker. */
   void closeIdle(int worker);
 
   /**
-   * How an attempt ended: {@code concurrency} is -1 where it was not told, {@code body} null unless
-   * served.
+   * How an attempt ended.
+   *
+   * @param concurrency calls that ran at the worker at once, or -1 where it did not report them
+   * @param loadReport the load report of the worker, or null
+   * @param body the response, or null unless served
    */
   record AttemptResult(
       OutcomeCode code, CopyStatus copyStatus, int concurrency, float[] loadReport, Buffer body) {
+    /** A result with nothing but its code. */
     public static AttemptResult of(OutcomeCode code) {
       return new AttemptResult(code, CopyStatus.NONE, -1, null, null);
     }
--- a/src/test/java/umberrun/core/LifecycleTest.java
+++ b/src/test/java/umberrun/core/LifecycleTest.java
@@ -8,59 +8,71 @@
 import org.junit.Test;
 import umberrun.core.Lifecycle.State;
 
-/** What a process owes its clients in each state, by the times of its drains and its end. */
+/**
+ * The states of a process and how it treats its clients in each, by the time since a drain or
+ * shutdown.
+ */
 public class LifecycleTest {
-  private static final long SECOND = 1_000_000;
-  private final Lifecycle duty = new Lifecycle(5 * SECOND);
+  private static final long SECOND_MICROS = 1_000_000;
+  private final Lifecycle lifecycle = new Lifecycle(5 * SECOND_MICROS);
 
   @Before
   public void serves() {
-    duty.serve(0);
+    lifecycle.serve(0);
   }
 
   @Test
-  public void aDrainSaysNoAtOnceAndLetsGoInPhases() {
-    assertTrue(duty.drain(10 * SECOND));
-    assertFalse(duty.isReady() || duty.isHealthy());
-    assertFalse("new connections still come", duty.closesIdleConnections(10 * SECOND + 300_000));
-    assertTrue(duty.closesIdleConnections(10 * SECOND + 400_000));
-    assertTrue(duty.acceptsCalls(11 * SECOND));
-    assertFalse("held with a call of the last 2 s", duty.acceptsCalls(12 * SECOND));
-    assertFalse(duty.closesBusyConnection(13 * SECOND, 12 * SECOND));
-    assertTrue(duty.closesBusyConnection(13 * SECOND + 300_000, 12 * SECOND));
-    assertFalse("its last call is older", duty.closesBusyConnection(14 * SECOND, 11 * SECOND));
+  public void aDrainFailsHealthChecksAtOnceAndClosesConnectionsInPhases() {
+    assertTrue(lifecycle.drain(10 * SECOND_MICROS));
+    assertFalse(lifecycle.isReady() || lifecycle.isHealthy());
+    assertFalse(
+        "new connections still come",
+        lifecycle.closesIdleConnections(10 * SECOND_MICROS + 300_000));
+    assertTrue(lifecycle.closesIdleConnections(10 * SECOND_MICROS + 400_000));
+    assertTrue(lifecycle.acceptsCalls(11 * SECOND_MICROS));
+    assertFalse(
+        "a call this late would count as a violation", lifecycle.acceptsCalls(12 * SECOND_MICROS));
+    assertFalse(lifecycle.closesBusyConnection(13 * SECOND_MICROS, 12 * SECOND_MICROS));
+    assertTrue(lifecycle.closesBusyConnection(13 * SECOND_MICROS + 300_000, 12 * SECOND_MICROS));
+    assertFalse(
+        "its last call is older",
+        lifecycle.closesBusyConnection(14 * SECOND_MICROS, 11 * SECOND_MICROS));
   }
 
   @Test
-  public void aSecondDrainDoesNotStartAnew() {
-    duty.drain(10 * SECOND);
-    assertTrue(duty.drain(11 * SECOND));
-    assertFalse(duty.acceptsCalls(12 * SECOND));
+  public void aSecondDrainKeepsTheTimeOfTheFirst() {
+    lifecycle.drain(10 * SECOND_MICROS);
+    assertTrue(lifecycle.drain(11 * SECOND_MICROS));
+    assertFalse(lifecycle.acceptsCalls(12 * SECOND_MICROS));
   }
 
   @Test
-  public void aDrainIsTakenBackInItsMiddle() {
-    duty.drain(10 * SECOND);
-    assertTrue(duty.activate(12 * SECOND));
-    assertTrue(duty.isReady() && duty.isHealthy() && duty.acceptsCalls(20 * SECOND));
+  public void aDrainCanBeEndedBeforeConnectionsClose() {
+    lifecycle.drain(10 * SECOND_MICROS);
+    assertTrue(lifecycle.activate(12 * SECOND_MICROS));
+    assertTrue(
+        lifecycle.isReady() && lifecycle.isHealthy() && lifecycle.acceptsCalls(20 * SECOND_MICROS));
     assertFalse(
-        duty.closesIdleConnections(20 * SECOND)
-            || duty.closesBusyConnection(20 * SECOND, 20 * SECOND));
-    assertTrue("it may be said again", duty.activate(21 * SECOND));
+        lifecycle.closesIdleConnections(20 * SECOND_MICROS)
+            || lifecycle.closesBusyConnection(20 * SECOND_MICROS, 20 * SECOND_MICROS));
+    assertTrue("activating again is allowed", lifecycle.activate(21 * SECOND_MICROS));
   }
 
   /**
-   * Whoever ends can't be drained nor called back, and whoever has not begun is not served by a
-   * call for it.
+   * A process that shuts down can be neither drained nor activated, and an activation does not make
+   * a process serve that has not started.
    */
   @Test
-  public void aProcessThatEndsStaysSo() {
-    duty.drain(10 * SECOND);
-    duty.shutDown(11 * SECOND, false);
-    duty.shutDown(12 * SECOND, true);
-    assertEquals(State.LEAVING, duty.state());
-    assertFalse(duty.drain(12 * SECOND) || duty.activate(12 * SECOND) || duty.isHealthy());
-    Lifecycle early = new Lifecycle(SECOND);
+  public void aShutdownIsFinal() {
+    lifecycle.drain(10 * SECOND_MICROS);
+    lifecycle.shutDown(11 * SECOND_MICROS, false);
+    lifecycle.shutDown(12 * SECOND_MICROS, true);
+    assertEquals(State.LEAVING, lifecycle.state());
+    assertFalse(
+        lifecycle.drain(12 * SECOND_MICROS)
+            || lifecycle.activate(12 * SECOND_MICROS)
+            || lifecycle.isHealthy());
+    Lifecycle early = new Lifecycle(SECOND_MICROS);
     assertFalse(early.activate(0) || early.drain(0));
     early.shutDown(0, false);
     early.serve(1);
@@ -68,44 +80,45 @@
   }
 
   /**
-   * While it hands over the front end as a whole is fit, and a no would keep clients from the
-   * successor as well.
+   * During a handover the front end as a whole is healthy; failing health checks would keep clients
+   * from the successor as well.
    */
   @Test
-  public void aHandoverKeepsTheFrontEndFit() {
-    duty.shutDown(10 * SECOND, true);
+  public void aHandoverKeepsTheFrontEndHealthy() {
+    lifecycle.shutDown(10 * SECOND_MICROS, true);
     assertTrue(
-        duty.isHealthy()
-            && duty.closesIdleConnections(10 * SECOND)
-            && duty.acceptsCalls(10 * SECOND + 600_000));
-    assertFalse(duty.isReady() || duty.acceptsCalls(10 * SECOND + 700_000));
+        lifecycle.isHealthy()
+            && lifecycle.closesIdleConnections(10 * SECOND_MICROS)
+            && lifecycle.acceptsCalls(10 * SECOND_MICROS + 600_000));
+    assertFalse(lifecycle.isReady() || lifecycle.acceptsCalls(10 * SECOND_MICROS + 700_000));
   }
 
   /**
-   * Without a successor connections stay: their clients go on for a while and then go elsewhere.
+   * Without a successor connections stay open: their clients use them for a while and then go to
+   * another front end.
    */
   @Test
   public void aPlannedRestartKeepsItsConnections() {
-    duty.shutDown(10 * SECOND, false);
+    lifecycle.shutDown(10 * SECOND_MICROS, false);
     assertFalse(
-        duty.isHealthy()
-            || duty.closesIdleConnections(11 * SECOND)
-            || duty.closesBusyConnection(13 * SECOND, 13 * SECOND));
-    assertTrue(duty.acceptsCalls(11 * SECOND));
+        lifecycle.isHealthy()
+            || lifecycle.closesIdleConnections(11 * SECOND_MICROS)
+            || lifecycle.closesBusyConnection(13 * SECOND_MICROS, 13 * SECOND_MICROS));
+    assertTrue(lifecycle.acceptsCalls(11 * SECOND_MICROS));
   }
 
   /**
-   * Before it is killed, what it still has open gets an answer; with short deadlines that is
-   * sooner.
+   * Calls that are still open get an answer before the process is killed, which is sooner where the
+   * class deadlines are short.
    */
   @Test
-  public void aProcessThatEndsCutsInTime() {
-    duty.shutDown(10 * SECOND, true);
-    assertFalse(duty.closesBusyConnection(13 * SECOND + 400_000, 0));
-    assertTrue(duty.closesBusyConnection(13 * SECOND + 500_000, 0));
-    Lifecycle brief = new Lifecycle(SECOND);
-    brief.shutDown(10 * SECOND, false);
-    assertFalse(brief.closesBusyConnection(11 * SECOND + 400_000, 0));
-    assertTrue(brief.closesBusyConnection(11 * SECOND + 500_000, 0));
+  public void aShutdownClosesConnectionsBeforeTheProcessIsKilled() {
+    lifecycle.shutDown(10 * SECOND_MICROS, true);
+    assertFalse(lifecycle.closesBusyConnection(13 * SECOND_MICROS + 400_000, 0));
+    assertTrue(lifecycle.closesBusyConnection(13 * SECOND_MICROS + 500_000, 0));
+    Lifecycle brief = new Lifecycle(SECOND_MICROS);
+    brief.shutDown(10 * SECOND_MICROS, false);
+    assertFalse(brief.closesBusyConnection(11 * SECOND_MICROS + 400_000, 0));
+    assertTrue(brief.closesBusyConnection(11 * SECOND_MICROS + 500_000, 0));
   }
 }
