--- a/src/main/java/umberrun/core/DiscoveryMonitor.java
+++ b/src/main/java/umberrun/core/DiscoveryMonitor.java
@@ -94,12 +94,12 @@
   public void follow(long knownAt) {
     contact.follow(knownAt, clock.now());
     initialResponseAt = contact.lastResponseAt();
-    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL / 1_000, t -> reviewAndReschedule());
+    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL_MICROS / 1_000, t -> reviewAndReschedule());
   }
 
   private void reviewAndReschedule() {
     eventQueue.accept(this::review);
-    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL / 1_000, t -> reviewAndReschedule());
+    vertx.setTimer(WorkerLeases.REVIEW_INTERVAL_MICROS / 1_000, t -> reviewAndReschedule());
   }
 
   /**
--- a/src/main/java/umberrun/core/DispatchLoop.java
+++ b/src/main/java/umberrun/core/DispatchLoop.java
@@ -59,7 +59,7 @@
  * passed to the dispatcher with a clock that never goes back, and the actions that it returns are
  * executed in their order.
  *
- * <p>Times are Unix microseconds of {@link Clock} unless a name says otherwise.
+ * <p>Times are Unix microseconds of {@link Clock} unless stated otherwise.
  */
 public final class DispatchLoop implements WorkerLeaseView {
   /**
--- a/src/main/java/umberrun/core/FactTranslator.java
+++ b/src/main/java/umberrun/core/FactTranslator.java
@@ -35,14 +35,15 @@
   private static final long MAX_AGE_MICROS = 30 * SECOND_MICROS;
 
   /**
-   * Initial half-lives. That of copies is then adjusted by whether call responses confirm the facts
-   * about them.
+   * Initial half-life of facts about workers. Only that of copies is adjusted, by whether call
+   * responses confirm the facts about them.
    */
   private static final long WORKER_HALF_LIFE_MICROS = 15 * SECOND_MICROS;
 
+  /** Initial half-life of facts about functions. */
   private static final long FUNCTION_HALF_LIFE_MICROS = 20 * SECOND_MICROS;
 
-  /** A copy of a function at a worker, known from another front end only. */
+  /** A copy of a function at a worker that another front end has reported. */
   private record CopyKey(int worker, long function) {}
 
   private final String origin = UUID.randomUUID().toString().substring(0, 13);
--- a/src/main/java/umberrun/core/WorkerSuspensions.java
+++ b/src/main/java/umberrun/core/WorkerSuspensions.java
@@ -33,8 +33,8 @@
   static final long NEVER = Long.MAX_VALUE;
 
   /**
-   * Part of a drain's grace that is left unused, to allow for the way to the worker and for a pause
-   * of this process.
+   * Part of a drain's grace that is left unused, to allow for the latency to the worker and for a
+   * pause of this process.
    */
   private static final long DRAIN_MARGIN_MICROS = 200_000;
 
--- a/src/main/java/umberrun/discovery/DiscoveryContact.java
+++ b/src/main/java/umberrun/discovery/DiscoveryContact.java
@@ -4,58 +4,71 @@
 import java.util.Deque;
 
 /**
- * What contact with discovery proves, and when what it has to tell counts as told though it did not
- * arrive. Free of I/O and of clocks: all times are microseconds of one steady clock, handed in by
- * the caller.
+ * Tracks contact with discovery, and derives until when a worker that was once known to be ready
+ * may be sent work. Free of I/O and of clocks: all times are microseconds of one monotonic clock,
+ * passed in by the caller.
  *
- * <p>An answer proves the list as of the moment when it was asked for. What happens later counts as
- * told {@link #TOLD} after it happened at the latest, and sooner around a move of discovery and
- * behind an answer that broke off.
+ * <p>A response proves the worker list as of the moment of its request. Later changes count as
+ * reported, although no report has arrived, at the latest {@link #REPORT_DELAY_MICROS} after they
+ * happened, and sooner around a move to another discovery server and after a response that was cut
+ * off.
  */
 public final class DiscoveryContact {
-  /** What discovery has to tell counts as told this long after it happened. */
-  public static final long TOLD = 7_000_000;
+  /** How long after a change discovery counts as having reported it. */
+  public static final long REPORT_DELAY_MICROS = 7_000_000;
 
-  /** What happens until this long after a move of discovery counts as told then. */
-  private static final long TOLD_AFTER_MOVE = 4_000_000;
+  /**
+   * Changes until this long after a move to another discovery server count as reported at the end
+   * of that time.
+   */
+  private static final long REPORT_DELAY_AFTER_MOVE_MICROS = 4_000_000;
 
-  /** What an answer would have told that broke off counts as told this long after the break. */
-  private static final long TOLD_AFTER_BREAK = 2_000_000;
+  /**
+   * Changes that a cut-off response would have reported count as reported this long after the cut.
+   */
+  private static final long REPORT_DELAY_AFTER_ABORT_MICROS = 2_000_000;
 
   /**
-   * Discovery that was last heard so long ago is out of reach: a poll in good order is answered
-   * within half of it.
+   * Discovery is unreachable after this time without a response. In normal operation a poll is
+   * answered within half of it.
    */
-  static final long OUT_OF_REACH = 2_500_000;
+  static final long UNREACHABLE_AFTER_MICROS = 2_500_000;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** Deadlines kept at the most; of a storm of moves the last ones share the last deadline. */
-  private static final int MOST_DEADLINES = 64;
+  /**
+   * How many deadlines are kept. Further ones are dropped, so in a burst of server moves the last
+   * moves share the last deadline that was kept.
+   */
+  private static final int MAX_DEADLINES = 64;
 
   /**
-   * What happened before {@code covers} counts as told at {@code told}, unless an answer asked for
-   * since {@code at} has come.
+   * Changes before {@code coversUntil} count as reported at {@code reportedAt}, until a response
+   * arrives whose request was made at {@code recordedAt} or later.
    */
-  private record Deadline(long at, long covers, long told) {}
+  private record Deadline(long recordedAt, long coversUntil, long reportedAt) {}
+
+  /** How long a lease lasts after the proof that it rests on. */
+  private final long leaseMicros;
 
-  private final long term;
   private final Deque<Deadline> deadlines = new ArrayDeque<>();
   private boolean followed;
   private long followedAt = NEVER;
   private long lastResponseAt = NEVER;
 
   /**
-   * @param grace how long new work may still go to a worker after its drain counts as told, less
-   *     what the way there takes
+   * @param grace how long new work may still go to a worker after its drain counts as reported,
+   *     less the time to reach the worker, in microseconds
    */
   public DiscoveryContact(long grace) {
-    this.term = TOLD + Math.max(0, grace);
+    this.leaseMicros = REPORT_DELAY_MICROS + Math.max(0, grace);
   }
 
   /**
-   * From {@code now} on the list comes from discovery; what is known already was so at {@code
-   * knownAt}. Without this a list never grows old.
+   * Starts to follow discovery as the source of the worker list. Without this, leases do not
+   * expire.
+   *
+   * @param knownAt as of when the list that is known already was right
    */
   public void follow(long knownAt, long now) {
     followed = true;
@@ -63,70 +76,74 @@
     lastResponseAt = Math.max(lastResponseAt, knownAt);
   }
 
-  /** The list as it is known proves nothing: another process has heard discovery since. */
-  void disown() {
+  /**
+   * Discards the proof of the known list, as another process has had contact with discovery since.
+   */
+  void discardResponses() {
     lastResponseAt = NEVER;
   }
 
-  /** Discovery answered, in full, what it was asked at that moment. */
+  /** Records that discovery answered in full a request that was made at {@code askedAt}. */
   public void recordResponse(long askedAt) {
     lastResponseAt = Math.max(lastResponseAt, askedAt);
-    deadlines.removeIf(d -> d.at <= askedAt);
+    deadlines.removeIf(deadline -> deadline.recordedAt <= askedAt);
   }
 
-  /** Discovery answers elsewhere from that moment on. */
+  /** Records a move to another discovery server at {@code at}. */
   public void recordServerMove(long at) {
-    add(new Deadline(at, at + TOLD_AFTER_MOVE, at + TOLD_AFTER_MOVE));
+    addDeadline(
+        new Deadline(at, at + REPORT_DELAY_AFTER_MOVE_MICROS, at + REPORT_DELAY_AFTER_MOVE_MICROS));
   }
 
-  /** Discovery had begun an answer, and it broke off. */
+  /** Records that a response of discovery was cut off at {@code at}. */
   public void recordAbortedResponse(long at) {
-    add(new Deadline(at, at, at + TOLD_AFTER_BREAK));
+    addDeadline(new Deadline(at, at, at + REPORT_DELAY_AFTER_ABORT_MICROS));
   }
 
-  private void add(Deadline next) {
-    deadlines.removeIf(d -> next.at - d.covers > term); // all that it shortened is over
-    if (deadlines.size() < MOST_DEADLINES) {
-      deadlines.add(next);
+  private void addDeadline(Deadline added) {
+    // Every lease that such a deadline shortened has ended by now.
+    deadlines.removeIf(deadline -> added.recordedAt - deadline.coversUntil > leaseMicros);
+    if (deadlines.size() < MAX_DEADLINES) {
+      deadlines.add(added);
     }
   }
 
-  /** When discovery was last known to have been in contact. */
+  /** The time of the last request that discovery is known to have answered. */
   public long lastResponseAt() {
     return lastResponseAt;
   }
 
   /**
-   * Whether discovery was heard by this process, or told it something through its configuration
-   * that still counts.
+   * Whether a response of discovery is known that still counts, from this process itself or through
+   * its configuration.
    */
   public boolean hasResponded() {
     return lastResponseAt != NEVER;
   }
 
-  /** Whether a list comes from discovery at all. */
+  /** Whether discovery is followed as the source of the worker list. */
   public boolean isFollowed() {
     return followed;
   }
 
-  /** Whether discovery has been silent for longer than it is when all is well. */
+  /** Whether discovery has not responded for longer than it takes in normal operation. */
   public boolean isUnreachable(long now) {
-    return followed && now - Math.max(lastResponseAt, followedAt) > OUT_OF_REACH;
+    return followed && now - Math.max(lastResponseAt, followedAt) > UNREACHABLE_AFTER_MICROS;
   }
 
-  /** Until when new work may be sent to a worker that was surely ready at {@code provenAt}. */
+  /** Until when new work may be sent to a worker that was certainly ready at {@code provenAt}. */
   public long leaseUntil(long provenAt) {
-    long until = provenAt + term;
-    for (Deadline d : deadlines) {
-      if (provenAt < d.covers) {
-        until = Math.min(until, d.told + term - TOLD);
+    long leaseUntil = provenAt + leaseMicros;
+    for (Deadline deadline : deadlines) {
+      if (provenAt < deadline.coversUntil) {
+        leaseUntil = Math.min(leaseUntil, deadline.reportedAt + leaseMicros - REPORT_DELAY_MICROS);
       }
     }
-    return until;
+    return leaseUntil;
   }
 
-  /** The proof from which a lease with so much left would follow, as another process counted it. */
-  long provenAt(long now, long left) {
-    return now + left - term;
+  /** The time of the proof that a lease with this remaining time would rest on. */
+  long provenAt(long now, long remaining) {
+    return now + remaining - leaseMicros;
   }
 }
--- a/src/main/java/umberrun/discovery/WorkerLeases.java
+++ b/src/main/java/umberrun/discovery/WorkerLeases.java
@@ -7,52 +7,59 @@
 import java.util.Map;
 
 /**
- * The permission to send new work to a worker, as a lease: contact with discovery renews it for all
- * workers, work that a worker took on renews it for that one, from the moment when it was sent.
- * Nothing else does; above all no answer to a probe, as a worker that drains may still give one.
- * Free of I/O and of clocks; times are in microseconds of one steady clock.
+ * The permission to send new work to a worker, as a lease. Contact with discovery renews the leases
+ * of all workers; work that a worker accepted renews its own, from the moment when that work was
+ * sent. Nothing else does: a response to a probe does not, as a draining worker may still give one.
+ * Free of I/O and of clocks; times are microseconds of one monotonic clock.
  *
- * <p>While discovery answers, the leases of all workers run on by themselves and nothing is asked
- * of anybody.
+ * <p>While discovery responds, all leases are renewed by that alone and no worker is asked for
+ * anything.
  */
 public final class WorkerLeases {
   /**
-   * A worker is held back this long before its lease ends: the decision to send is looked at no
-   * more often.
+   * The interval between reviews, in microseconds. A worker is held back this long before its lease
+   * ends, as the decision to send is reviewed no more often.
    */
-  public static final long REVIEW_INTERVAL = 250_000;
+  public static final long REVIEW_INTERVAL_MICROS = 250_000;
 
-  /** A lease with less left is to be renewed by work, where there is any. */
-  private static final long RENEW_WITHIN = 5_500_000;
+  /** A lease with less time remaining is renewed by work, where there is any. */
+  private static final long RENEW_WITHIN_MICROS = 5_500_000;
 
-  /** With less left it is urgent. */
-  private static final long URGENT = 3_000_000;
+  /** With less time remaining the renewal is urgent. */
+  private static final long URGENT_MICROS = 3_000_000;
 
-  /** An order or call that should renew a lease has so long to do it. */
-  private static final long RENEWAL_TAKES = 1_000_000;
+  /**
+   * How long a call or preload request has to renew a lease before another renewal is requested.
+   */
+  private static final long RENEWAL_TIMEOUT_MICROS = 1_000_000;
 
   /** An odd number whose multiples look random in their upper bits. */
-  private static final int SCATTER = 0x9e3779b1;
+  private static final int SCATTER_MULTIPLIER = 0x9e3779b1;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
-  /** A worker whose lease ends after {@code remaining} microseconds unless it takes on work. */
+  /** A lease that ends after {@code remaining} microseconds unless its worker accepts work. */
   public record ExpiringLease(int worker, long remaining) {}
 
   /**
-   * What a review found: who may no longer be sent work, who may again, and whose lease is to be
-   * renewed, the shortest first.
+   * The changes that a review found.
+   *
+   * @param heldBack workers that may no longer be sent work
+   * @param released workers that may be sent work again
+   * @param restarted workers whose inferred start has changed
+   * @param expiring leases to be renewed, the shortest first
    */
   public record Review(
       List<Integer> heldBack,
       List<Integer> released,
       List<Integer> restarted,
       List<ExpiringLease> expiring) {
-    /** How many of those that expire, from the first on, do so very soon. */
+    /** How many of the expiring leases, from the first on, are urgent. */
     public int urgent() {
-      return (int) expiring.stream().filter(e -> e.remaining < URGENT).count();
+      return (int) expiring.stream().filter(lease -> lease.remaining < URGENT_MICROS).count();
     }
 
+    /** Whether no worker was held back, released or found restarted. */
     public boolean isEmpty() {
       return heldBack.isEmpty() && released.isEmpty() && restarted.isEmpty();
     }
@@ -61,55 +68,64 @@
   private final DiscoveryContact contact;
 
   /**
-   * Leases that end at one moment are renewed in an order of each front end's own, so that together
-   * they keep all workers in use.
+   * Differs between front ends, so that leases which end at the same time are renewed by each in an
+   * order of its own, and together they keep all workers in use.
    */
   private final int salt;
 
+  /** When work that a worker accepted was last sent to it. */
   private final Map<Integer, Long> provenAt = new HashMap<>();
 
-  /** When a renewal was last tried. */
-  private final Map<Integer, Long> triedAt = new HashMap<>();
+  /** When a renewal of the worker's lease was last tried. */
+  private final Map<Integer, Long> renewalTriedAt = new HashMap<>();
 
-  /** When a worker's address last refused a connection: the process there had ended. */
-  private final Map<Integer, Long> refusedAt = new HashMap<>();
+  /**
+   * When a worker's address last refused a connection, which shows that the process there had
+   * ended.
+   */
+  private final Map<Integer, Long> connectionRefusedAt = new HashMap<>();
 
-  /** Since when each of those that are held back is. */
-  private final Map<Integer, Long> heldBack = new HashMap<>();
+  /** The workers that are held back, and since when. */
+  private final Map<Integer, Long> heldBackSince = new HashMap<>();
 
-  /** Those whose start counts as told though discovery did not tell it, and when it was. */
-  private final Map<Integer, Long> restarted = new HashMap<>();
+  /**
+   * Workers that count as restarted although discovery did not report it, and when they started.
+   */
+  private final Map<Integer, Long> restartedAt = new HashMap<>();
 
   /**
-   * @param salt another one at each front end
+   * @param salt a value that differs between front ends
    */
   public WorkerLeases(DiscoveryContact contact, int salt) {
     this.contact = contact;
     this.salt = salt;
   }
 
-  /** A worker took on work that was sent at that moment: it did not drain then. */
+  /** Records that a worker accepted work that was sent at {@code sentAt}: it did not drain then. */
   public void recordAcceptedWork(int worker, long sentAt) {
     provenAt.merge(worker, sentAt, Math::max);
   }
 
-  /** A worker's address refused a connection: whatever answers there later has started since. */
+  /**
+   * Records that a worker's address refused a connection: whatever responds there later has started
+   * since.
+   */
   public void recordConnectionRefused(int worker, long at) {
-    refusedAt.put(worker, at);
+    connectionRefusedAt.put(worker, at);
   }
 
-  /** A worker is gone; one that comes back under its name is another. */
+  /** Forgets a worker that is gone; one that returns under its name counts as another worker. */
   public void forget(int worker) {
     provenAt.remove(worker);
-    triedAt.remove(worker);
-    refusedAt.remove(worker);
-    heldBack.remove(worker);
-    restarted.remove(worker);
+    renewalTriedAt.remove(worker);
+    connectionRefusedAt.remove(worker);
+    heldBackSince.remove(worker);
+    restartedAt.remove(worker);
   }
 
   /**
-   * Until when new work may be written to a worker; the greatest long where the list comes from
-   * nowhere that could be lost.
+   * Until when new work may be written to a worker; {@link Long#MAX_VALUE} where no discovery is
+   * followed, which could become unreachable.
    */
   public long leaseUntil(int worker) {
     if (!contact.isFollowed()) {
@@ -119,112 +135,118 @@
         Math.max(contact.lastResponseAt(), provenAt.getOrDefault(worker, NEVER)));
   }
 
-  /** Whether a worker counts as held back, as of the last review. */
+  /** Whether a worker is held back, as of the last review. */
   public boolean isHeldBack(int worker) {
-    return heldBack.containsKey(worker);
+    return heldBackSince.containsKey(worker);
   }
 
-  /** Since when a worker is held back. */
+  /** Since when a worker is held back; to be called for such workers only. */
   public long heldBackSince(int worker) {
-    return heldBack.get(worker);
+    return heldBackSince.get(worker);
   }
 
-  /** How many are held back. */
+  /** How many workers are held back. */
   public int heldBackCount() {
-    return heldBack.size();
+    return heldBackSince.size();
   }
 
   /**
-   * When a worker started, as far as it counts as told though discovery did not tell it; else 0.
+   * When a worker restarted, as inferred without a report by discovery; 0 where no restart is
+   * inferred.
    */
   public long startedAt(int worker) {
-    return restarted.getOrDefault(worker, 0L);
+    return restartedAt.getOrDefault(worker, 0L);
   }
 
   /**
-   * Looks at all leases. To be called every {@link #REVIEW_INTERVAL}, and after each contact with
-   * discovery.
+   * Reviews all leases. To be called every {@link #REVIEW_INTERVAL_MICROS}, and after each contact
+   * with discovery.
    */
   public Review review(long now, Iterable<Integer> listed) {
-    Review found =
+    Review review =
         new Review(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
-    boolean away = contact.isUnreachable(now);
-    boolean allHold =
+    boolean unreachable = contact.isUnreachable(now);
+    boolean allLeasesValid =
         !contact.isFollowed()
-            || contact.leaseUntil(contact.lastResponseAt()) - now > REVIEW_INTERVAL;
-    if (!away && allHold && heldBack.isEmpty() && restarted.isEmpty()) {
-      return found;
+            || contact.leaseUntil(contact.lastResponseAt()) - now > REVIEW_INTERVAL_MICROS;
+    if (!unreachable && allLeasesValid && heldBackSince.isEmpty() && restartedAt.isEmpty()) {
+      return review;
     }
     for (int worker : listed) {
-      reviewLease(worker, now, away, found);
-      reviewStart(worker, now, found);
+      reviewLease(worker, now, unreachable, review);
+      reviewStart(worker, now, review);
     }
-    found.expiring.sort(
+    review.expiring.sort(
         Comparator.comparingLong(ExpiringLease::remaining)
-            .thenComparingInt(e -> (e.worker ^ salt) * SCATTER));
-    return found;
+            .thenComparingInt(lease -> (lease.worker ^ salt) * SCATTER_MULTIPLIER));
+    return review;
   }
 
-  private void reviewLease(int worker, long now, boolean away, Review found) {
-    long left = leaseUntil(worker) - now;
-    boolean over = left <= REVIEW_INTERVAL;
-    if (over && heldBack.putIfAbsent(worker, now) == null) {
-      found.heldBack.add(worker);
-    } else if (!over && heldBack.remove(worker) != null) {
-      found.released.add(worker);
+  private void reviewLease(int worker, long now, boolean unreachable, Review review) {
+    long remaining = leaseUntil(worker) - now;
+    boolean expired = remaining <= REVIEW_INTERVAL_MICROS;
+    if (expired && heldBackSince.putIfAbsent(worker, now) == null) {
+      review.heldBack.add(worker);
+    } else if (!expired && heldBackSince.remove(worker) != null) {
+      review.released.add(worker);
     }
-    if (away
-        && !over
-        && left < RENEW_WITHIN
-        && now - triedAt.getOrDefault(worker, NEVER) >= RENEWAL_TAKES) {
-      found.expiring.add(new ExpiringLease(worker, left));
+    if (unreachable
+        && !expired
+        && remaining < RENEW_WITHIN_MICROS
+        && now - renewalTriedAt.getOrDefault(worker, NEVER) >= RENEWAL_TIMEOUT_MICROS) {
+      review.expiring.add(new ExpiringLease(worker, remaining));
     }
   }
 
-  private void reviewStart(int worker, long now, Review found) {
-    Long at = refusedAt.get(worker);
-    boolean counts =
-        at != null
-            && at > contact.lastResponseAt()
-            && now >= at + DiscoveryContact.TOLD - REVIEW_INTERVAL;
-    Long before = counts ? restarted.put(worker, at) : restarted.remove(worker);
-    if (counts ? !at.equals(before) : before != null) {
-      found.restarted.add(worker);
+  /**
+   * A worker whose address refused a connection since the last response of discovery counts as
+   * restarted once discovery would have reported it.
+   */
+  private void reviewStart(int worker, long now, Review review) {
+    Long refusedAt = connectionRefusedAt.get(worker);
+    boolean isRestarted =
+        refusedAt != null
+            && refusedAt > contact.lastResponseAt()
+            && now >= refusedAt + DiscoveryContact.REPORT_DELAY_MICROS - REVIEW_INTERVAL_MICROS;
+    Long previous = isRestarted ? restartedAt.put(worker, refusedAt) : restartedAt.remove(worker);
+    if (isRestarted ? !refusedAt.equals(previous) : previous != null) {
+      review.restarted.add(worker);
     }
   }
 
-  /** A renewal of this worker's lease was tried. */
+  /** Records that a renewal of this worker's lease was tried. */
   public void recordRenewalAttempt(int worker, long now) {
-    triedAt.put(worker, now);
+    renewalTriedAt.put(worker, now);
   }
 
   /**
-   * What is left of each worker's lease, for a process that takes over; those that are held back
-   * are left out.
+   * The remaining time of each worker's lease, for a process that takes over. Leaves out workers
+   * that are held back.
    */
   public Map<Integer, Long> remaining(long now, Iterable<Integer> listed) {
-    Map<Integer, Long> left = new HashMap<>();
+    Map<Integer, Long> byWorker = new HashMap<>();
     for (int worker : listed) {
-      long rest = leaseUntil(worker) - now;
-      if (contact.isFollowed() && rest > REVIEW_INTERVAL) {
-        left.put(worker, rest);
+      long remaining = leaseUntil(worker) - now;
+      if (contact.isFollowed() && remaining > REVIEW_INTERVAL_MICROS) {
+        byWorker.put(worker, remaining);
       }
     }
-    return left;
+    return byWorker;
   }
 
   /**
-   * Takes over what was left of the leases of the process that this one replaces, in the place of
-   * the list that this one started with, which may be older. Nothing once this process has heard
-   * discovery itself.
+   * Takes over the leases of the process that this one replaces, with the remaining times given, in
+   * place of the list that this process started with, which may be older. Does nothing once this
+   * process has had a response of discovery itself.
    *
-   * @param startedWith the contact that this process had by its configuration alone
+   * @param initialResponseAt the time of the last response that this process knew by its
+   *     configuration
    */
-  public void takeOver(Map<Integer, Long> left, long now, long startedWith) {
-    if (contact.lastResponseAt() > startedWith) {
+  public void takeOver(Map<Integer, Long> remaining, long now, long initialResponseAt) {
+    if (contact.lastResponseAt() > initialResponseAt) {
       return;
     }
-    contact.disown();
-    left.forEach((worker, rest) -> recordAcceptedWork(worker, contact.provenAt(now, rest)));
+    contact.discardResponses();
+    remaining.forEach((worker, lease) -> recordAcceptedWork(worker, contact.provenAt(now, lease)));
   }
 }
--- a/src/test/java/umberrun/CrossingsTest.java
+++ b/src/test/java/umberrun/CrossingsTest.java
@@ -14,68 +14,75 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * What ends a call, a connection or a wait, in the instant in which something else is on its way;
- * see docs/acceptance.md.
+ * Events that cross: a call, a connection or a wait ends in the instant in which something else is
+ * on its way.
  */
 public class CrossingsTest {
-  /** Connections come up however late, so that a call can be made to wait for one. */
-  private static final String PATIENT =
+  /**
+   * Settings that let a connection come up very late, so that a call can be made to wait for one.
+   */
+  private static final String LATE_CONNECTIONS =
       Scenario.SETTINGS.replace("\"ConnectTimeout\":250", "\"ConnectTimeout\":9000");
 
-  private static final String NEVER_TWICE =
+  /** Settings without deduplication: calls of that class must not run twice. */
+  private static final String AT_MOST_ONCE =
       Scenario.SETTINGS.replace("deduplicated", "at_most_once");
 
-  private static String each(int times, String lines) {
+  private static String repeat(int times, String lines) {
     return IntStream.rangeClosed(1, times)
         .mapToObj(i -> lines.replace("#", "" + i))
         .collect(Collectors.joining("\n"));
   }
 
-  // ---------------------------------------------------------------- callers who go
+  // ---------------------------------------------------------------- clients that leave
 
-  /** Its call waits in the owner's queue: it is not sent. */
+  /** A call that is revoked while it waits in the queue of the dispatch loop is not sent. */
   @Test
   public void aCallRevokedInTheQueueIsNotSent() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.playUnseen("c1 send 1 date-lookup\nc1 send revoke 1", () -> {});
-      s.await(Count.CALLS_LEFT, 0);
-      s.play("c2 send 2 date-lookup\nw1 expect RUN 2d42\nw1 send 200 n=w\nc2 expect [1,2,null");
-      assertEquals(1, s.server.counters().get(Count.ATTEMPTS_SENT));
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.playUnseen("c1 send 1 date-lookup\nc1 send revoke 1", () -> {});
+      scenario.await(Count.CALLS_LEFT, 0);
+      scenario.play(
+          "c2 send 2 date-lookup\nw1 expect RUN 2d42\nw1 send 200 n=w\nc2 expect [1,2,null");
+      assertEquals(1, scenario.server.counters().get(Count.ATTEMPTS_SENT));
     }
   }
 
   /**
-   * The machine stood still while the call came and its caller went: it is not sent, though the end
-   * lies behind it unread.
+   * The process was blocked while a call came and its client left: the call is not sent, although
+   * the close lies unread behind it.
    */
   @Test
-  public void aCallWhoseCallerLeftWhileTheLoopStoodIsNotSent() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.playUnseen(
+  public void aCallWhoseClientLeftWhileTheEventLoopWasBlockedIsNotSent() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.playUnseen(
           "c1 send 1 date-lookup\nc1 close",
           () -> {
-            long end =
-                System.nanoTime()
-                    + TimeUnit.MILLISECONDS.toNanos(80); // longer than what counts as on time
+            // Longer than the lag at which the process counts as on time.
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(80);
             while (System.nanoTime() < end) {
               Thread.onSpinWait();
             }
           });
-      s.await(Count.CALLS_LEFT, 0);
-      s.play("c2 send 2 date-lookup\nw1 expect RUN 2d42\nw1 send 200 n=w\nc2 expect [1,2,null");
-      assertEquals(1, s.server.counters().get(Count.ATTEMPTS_SENT));
+      scenario.await(Count.CALLS_LEFT, 0);
+      scenario.play(
+          "c2 send 2 date-lookup\nw1 expect RUN 2d42\nw1 send 200 n=w\nc2 expect [1,2,null");
+      assertEquals(1, scenario.server.counters().get(Count.ATTEMPTS_SENT));
     }
   }
 
-  /** Its call waits for a connection: what comes up then carries others' calls alone. */
+  /**
+   * A call whose client leaves while it waits for a connection is not written: the connection then
+   * carries calls of other clients only.
+   */
   @Test
-  public void aCallWhoseCallerLeftWhileDiallingIsNotWritten() throws Exception {
-    try (Scenario s = Scenario.with(PATIENT, "w1-held")) {
-      s.play("c1 send 1 date-lookup\nc3 send 3 slot-change budget=9000");
-      s.await(Count.ATTEMPTS_SENT, 1);
-      s.play("c1 send revoke 1\nc3 close");
-      s.await(Count.CALLS_LEFT, 1);
-      s.play(
+  public void aCallWhoseClientLeftWhileConnectingIsNotWritten() throws Exception {
+    try (Scenario scenario = Scenario.with(LATE_CONNECTIONS, "w1-held")) {
+      scenario.play("c1 send 1 date-lookup\nc3 send 3 slot-change budget=9000");
+      scenario.await(Count.ATTEMPTS_SENT, 1);
+      scenario.play("c1 send revoke 1\nc3 close");
+      scenario.await(Count.CALLS_LEFT, 1);
+      scenario.play(
           """
           c2 send 2 slot-change budget=9000
           w1-held send up
@@ -87,214 +94,250 @@
     }
   }
 
-  /** Its second attempt waits for a connection when the caller goes: that is not written either. */
+  /**
+   * A call that is revoked while its second attempt waits for a connection is not written either.
+   */
   @Test
   public void aCallRevokedBeforeItsRetryIsWrittenIsNotSentAgain() throws Exception {
-    try (Scenario s = Scenario.with(PATIENT, "w1")) {
-      s.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
-      s.join("w2-held");
-      s.play("w1 close");
-      s.await(Count.ATTEMPTS_SENT, 1);
-      s.play("c1 send revoke 1");
-      s.await(Count.CALLS_LEFT, 0);
-      s.play(
-          "c2 send 2 slot-change budget=9000\nw2-held send up\nw2-held expect RUN 2d42\nw2-held send 200 n=w\n"
-              + "c2 expect [1,2,null\nw2-held wait 1");
+    try (Scenario scenario = Scenario.with(LATE_CONNECTIONS, "w1")) {
+      scenario.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
+      scenario.join("w2-held");
+      scenario.play("w1 close");
+      scenario.await(Count.ATTEMPTS_SENT, 1);
+      scenario.play("c1 send revoke 1");
+      scenario.await(Count.CALLS_LEFT, 0);
+      scenario.play(
+          "c2 send 2 slot-change budget=9000\n"
+              + "w2-held send up\n"
+              + "w2-held expect RUN 2d42\n"
+              + "w2-held send 200 n=w\n"
+              + "c2 expect [1,2,null\n"
+              + "w2-held wait 1");
     }
   }
 
   /**
-   * A connection that never comes up costs a call the time that the settings allow for it, and no
-   * more.
+   * A connection that never comes up costs a call the connect timeout of the settings, and no more.
    */
   @Test
   public void aCallWhoseConnectionNeverComesUpGoesElsewhere() throws Exception {
-    try (Scenario s = Scenario.of("w1-held")) {
-      s.play("c1 send 1 slot-change budget=9000");
-      s.await(Count.ATTEMPTS_SENT, 0);
-      s.join("x2");
-      s.play("x2 expect RUN 2d41\nx2 send 200 n=w\nc1 expect [1,1,null");
+    try (Scenario scenario = Scenario.of("w1-held")) {
+      scenario.play("c1 send 1 slot-change budget=9000");
+      scenario.await(Count.ATTEMPTS_SENT, 0);
+      scenario.join("x2");
+      scenario.play("x2 expect RUN 2d41\nx2 send 200 n=w\nc1 expect [1,1,null");
     }
   }
 
   /**
-   * A keyed call of the invoke API may be joined by a repeat, but nothing is sent for it while
-   * nobody waits.
+   * A retry may join a keyed call of the invoke API, but nothing is sent for that call while no
+   * client waits.
    */
   @Test
-  public void aKeyedCallWhoseCallerLeftIsSentAgainOnlyForARepeat() throws Exception {
+  public void aKeyedCallWhoseClientLeftIsSentAgainOnlyForARetry() throws Exception {
     String call =
-        "POST /v1/functions/7f3a9c21e0b4d655/invocations Invoke-Class:slot-change Invoke-Tenant:central-council "
-            + "Idempotency-Key:one =body\n";
-    try (Scenario s = Scenario.with(PATIENT, "w1-held")) {
-      s.play("h1 send " + call);
-      s.await(Count.ATTEMPTS_SENT, 0);
-      s.play("h1 close");
-      s.await(Count.CALLS_UNATTENDED, 0);
-      s.play(
-          "w1-held send up\nc2 send 2 slot-change budget=9000\nw1-held expect RUN 2d42\nw1-held send 200 n=w\nc2 expect [1,2,null");
-      s.play(
+        "POST /v1/functions/7f3a9c21e0b4d655/invocations Invoke-Class:slot-change"
+            + " Invoke-Tenant:central-council Idempotency-Key:one =body\n";
+    try (Scenario scenario = Scenario.with(LATE_CONNECTIONS, "w1-held")) {
+      scenario.play("h1 send " + call);
+      scenario.await(Count.ATTEMPTS_SENT, 0);
+      scenario.play("h1 close");
+      scenario.await(Count.CALLS_UNATTENDED, 0);
+      scenario.play(
+          "w1-held send up\n"
+              + "c2 send 2 slot-change budget=9000\n"
+              + "w1-held expect RUN 2d42\n"
+              + "w1-held send 200 n=w\n"
+              + "c2 expect [1,2,null");
+      scenario.play(
           "h2 send "
               + call
               + "w1-held expect RUN op=one\nw1-held send 200 n=w told\nh2 expect 200 told");
     }
   }
 
-  /**
-   * A repeat in the deferred style of a call that began as a synchronous one is told where the
-   * result will be.
-   */
+  /** A deferred retry of a call that began as a synchronous one gets the location of the result. */
   @Test
-  public void aDeferredRepeatOfASynchronousCallCanBeCollected() throws Exception {
+  public void theResultOfADeferredRetryOfASynchronousCallCanBeFetched() throws Exception {
     String call =
-        "POST /v1/functions/7f3a9c21e0b4d655/invocations Invoke-Class:slot-change Invoke-Tenant:central-council "
-            + "Idempotency-Key:one";
-    try (Scenario s = Scenario.of("w1")) {
-      s.play(
+        "POST /v1/functions/7f3a9c21e0b4d655/invocations Invoke-Class:slot-change"
+            + " Invoke-Tenant:central-council Idempotency-Key:one";
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.play(
           "h1 send "
               + call
               + " =body\nw1 expect RUN op=one\nh2 send "
               + call
               + " Prefer:respond-async =body\nh2 expect 202");
-      s.play(
-          "h3 send GET @ Prefer:wait=9\nw1 send 200 n=w told\nh3 expect 200 told\nh1 expect 200 told");
+      scenario.play(
+          "h3 send GET @ Prefer:wait=9\n"
+              + "w1 send 200 n=w told\n"
+              + "h3 expect 200 told\n"
+              + "h1 expect 200 told");
     }
   }
 
-  // ---------------------------------------------------------------- workers that go
+  // ---------------------------------------------------------------- workers that leave
 
   /**
-   * What waits for a connection to a worker that is gone by then goes elsewhere at once: the
-   * address may be another's.
+   * A call that waits for a connection to a worker that is gone by then goes elsewhere at once, as
+   * the address may belong to another worker.
    */
   @Test
   public void aCallThatWaitsForAGoneWorkersConnectionGoesElsewhere() throws Exception {
-    try (Scenario s = Scenario.with(PATIENT, "w1-held")) {
-      s.play("c1 send 1 slot-change budget=9000");
-      s.await(Count.ATTEMPTS_SENT, 0);
-      s.join("x2");
-      s.tell("w1-held", "terminated");
-      s.play(
-          "x2 expect RUN 2d41\nx2 send 200 n=w\nc1 expect [1,1,null\nw1-held send up\nw1-held wait 1");
+    try (Scenario scenario = Scenario.with(LATE_CONNECTIONS, "w1-held")) {
+      scenario.play("c1 send 1 slot-change budget=9000");
+      scenario.await(Count.ATTEMPTS_SENT, 0);
+      scenario.join("x2");
+      scenario.tell("w1-held", "terminated");
+      scenario.play(
+          "x2 expect RUN 2d41\n"
+              + "x2 send 200 n=w\n"
+              + "c1 expect [1,1,null\n"
+              + "w1-held send up\n"
+              + "w1-held wait 1");
     }
   }
 
-  /** A drain is told while a call waits for the connection: it is not written there. */
+  /** A drain is reported while a call waits for the connection: the call is not written there. */
   @Test
-  public void aDrainToldWhileDiallingIsKept() throws Exception {
-    try (Scenario s = Scenario.with(PATIENT, "w1-held")) {
-      s.play("c1 send 1 slot-change budget=9000");
-      s.await(Count.ATTEMPTS_SENT, 0);
-      s.join("x2");
-      s.tell("w1-held", "terminating");
-      s.play(
-          "w1-held send up\nx2 expect RUN 2d41\nx2 send 200 n=w\nc1 expect [1,1,null\nw1-held wait 1");
+  public void aDrainReportedWhileConnectingIsObserved() throws Exception {
+    try (Scenario scenario = Scenario.with(LATE_CONNECTIONS, "w1-held")) {
+      scenario.play("c1 send 1 slot-change budget=9000");
+      scenario.await(Count.ATTEMPTS_SENT, 0);
+      scenario.join("x2");
+      scenario.tell("w1-held", "terminating");
+      scenario.play(
+          "w1-held send up\n"
+              + "x2 expect RUN 2d41\n"
+              + "x2 send 200 n=w\n"
+              + "c1 expect [1,1,null\n"
+              + "w1-held wait 1");
     }
   }
 
   /**
-   * A reset after the write: what is safe to repeat goes to another worker, what is keyed stays in
-   * the hall.
+   * After a reset behind the write, an idempotent call goes to another worker, while a deduplicated
+   * one stays within its hall.
    */
   @Test
-  public void aResetAfterTheWriteIsRepeatedAsTheClassAllows() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.play("c1 send 1 date-lookup budget=9000\nw1 expect RUN 2d41");
-      s.join("x2");
-      s.play("w1 close\nx2 expect RUN 2d41\nx2 send 200 n=w\nc1 expect [1,1,null");
+  public void aCallResetAfterTheWriteIsRetriedAsItsClassAllows() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.play("c1 send 1 date-lookup budget=9000\nw1 expect RUN 2d41");
+      scenario.join("x2");
+      scenario.play("w1 close\nx2 expect RUN 2d41\nx2 send 200 n=w\nc1 expect [1,1,null");
     }
-    try (Scenario s = Scenario.of("w1")) {
-      s.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
-      s.join("w2");
-      s.play(
-          "w1 close\nw2 expect RUN 2d41 op=5c0f6e1a2b3d4c59a8b7c6d5e4f30211\nw2 send 200 n=w\nc1 expect [1,1,null");
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
+      scenario.join("w2");
+      scenario.play(
+          "w1 close\n"
+              + "w2 expect RUN 2d41 op=5c0f6e1a2b3d4c59a8b7c6d5e4f30211\n"
+              + "w2 send 200 n=w\n"
+              + "c1 expect [1,1,null");
     }
-    try (Scenario s = Scenario.of("w1")) {
-      s.play("c1 send 1 slot-change budget=1500\nw1 expect RUN 2d41");
-      s.join("x2");
-      s.play("w1 close\nc1 expect [1,1,[\"Failed\"\nx2 wait 1");
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.play("c1 send 1 slot-change budget=1500\nw1 expect RUN 2d41");
+      scenario.join("x2");
+      scenario.play("w1 close\nc1 expect [1,1,[\"Failed\"\nx2 wait 1");
     }
   }
 
   /**
-   * A class that must never run twice ends with a reset, but goes elsewhere where the connection
-   * was refused.
+   * A call of a class that must never run twice fails after a reset, but goes elsewhere where the
+   * connection was refused.
    */
   @Test
-  public void whatMustNeverRunTwiceIsSentOnceAtTheMost() throws Exception {
-    try (Scenario s = Scenario.with(NEVER_TWICE, "w1")) {
-      s.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
-      s.join("w2");
-      s.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nw2 wait 1");
+  public void anAtMostOnceCallIsSentAtMostOnce() throws Exception {
+    try (Scenario scenario = Scenario.with(AT_MOST_ONCE, "w1")) {
+      scenario.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
+      scenario.join("w2");
+      scenario.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nw2 wait 1");
     }
-    try (Scenario s = Scenario.with(NEVER_TWICE, "w1-down", "w2")) {
-      s.worker("w2").answersAll = true;
-      s.play(each(6, "c1 send # slot-change\nc1 expect [1,#,null"));
+    try (Scenario scenario = Scenario.with(AT_MOST_ONCE, "w1-down", "w2")) {
+      scenario.worker("w2").answersAll = true;
+      scenario.play(repeat(6, "c1 send # slot-change\nc1 expect [1,#,null"));
     }
   }
 
-  /** The window for a repeat closes while it waits for a connection: it is not written. */
+  /**
+   * The deduplication window ends while the retry waits for a connection: the retry is not written.
+   */
   @Test
-  public void aRepeatThatOutwaitsItsWindowIsNotWritten() throws Exception {
-    String brief =
-        PATIENT.replace(
+  public void aRetryThatOutlastsTheDedupWindowIsNotWritten() throws Exception {
+    String shortWindow =
+        LATE_CONNECTIONS.replace(
             "\"DedupWindow\":5000,\"GiveUp\":5000", "\"DedupWindow\":500,\"GiveUp\":5000");
-    assertNotEquals(PATIENT, brief);
-    try (Scenario s = Scenario.with(brief, "w1")) {
-      s.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
-      s.join("w2-held");
-      s.play("w1 close");
-      s.await(Count.ATTEMPTS_SENT, 1);
-      Thread.sleep(600); // the window itself
-      s.play("w2-held send up\nc1 expect [1,1,[\"Failed\"\nw2-held wait 1");
+    assertNotEquals(LATE_CONNECTIONS, shortWindow);
+    try (Scenario scenario = Scenario.with(shortWindow, "w1")) {
+      scenario.play("c1 send 1 slot-change budget=9000\nw1 expect RUN 2d41");
+      scenario.join("w2-held");
+      scenario.play("w1 close");
+      scenario.await(Count.ATTEMPTS_SENT, 1);
+      // Longer than the deduplication window.
+      Thread.sleep(600);
+      scenario.play("w2-held send up\nc1 expect [1,1,[\"Failed\"\nw2-held wait 1");
     }
   }
 
   // ---------------------------------------------------------------- answers
 
   /**
-   * The answer and the revoke lie unread side by side: whichever is read first, there is one end,
+   * The answer and the revoke lie unread side by side: whichever is read first, the call ends once,
    * and the next call is served.
    */
   @Test
-  public void aRevokeThatMeetsTheAnswerEndsTheCallOnce() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.play("c1 send 1 date-lookup\nw1 expect RUN 2d41");
-      s.playUnseen("w1 send 200 n=w told\nc1 send revoke 1", () -> {});
-      s.play("c2 send 2 date-lookup\nw1 expect RUN 2d42\nw1 send 200 n=w\nc2 expect [1,2,null");
+  public void aRevokeThatCrossesTheAnswerEndsTheCallOnce() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.play("c1 send 1 date-lookup\nw1 expect RUN 2d41");
+      scenario.playUnseen("w1 send 200 n=w told\nc1 send revoke 1", () -> {});
+      scenario.play(
+          "c2 send 2 date-lookup\nw1 expect RUN 2d42\nw1 send 200 n=w\nc2 expect [1,2,null");
       assertEquals(
           2,
-          s.server.counters().get(Count.CALLS_SERVED) + s.server.counters().get(Count.CALLS_LEFT));
-      s.play("c1 send 3 heartbeat\nc1 expect perhaps 1 [1,3,null,[true");
-      s.play(
-          "c1 send 1 date-lookup\nw1 expect RUN 2d41\nw1 send 200 n=w again\nc1 expect [1,1,null again");
+          scenario.server.counters().get(Count.CALLS_SERVED)
+              + scenario.server.counters().get(Count.CALLS_LEFT));
+      scenario.play("c1 send 3 heartbeat\nc1 expect perhaps 1 [1,3,null,[true");
+      scenario.play(
+          "c1 send 1 date-lookup\n"
+              + "w1 expect RUN 2d41\n"
+              + "w1 send 200 n=w again\n"
+              + "c1 expect [1,1,null again");
     }
   }
 
-  /** In pieces, beside one that nobody asked for, and again when its call is over. */
+  /**
+   * An answer counts once, whether it comes in pieces, beside one that nobody asked for, or again
+   * after its call is over.
+   */
   @Test
   public void anAnswerIsTakenOnceHoweverItComes() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
+    try (Scenario scenario = Scenario.of("w1")) {
       String answer = "*4\r\n$16\r\n9b1f03aa5c7e2d41\r\n$3\r\n200\r\n$3\r\nn=w\r\n$4\r\ntold\r\n";
       StringBuilder lines =
           new StringBuilder("c1 send 1 slot-change\nw1 expect RUN\nw1 send unknown 200\n");
       for (char piece : answer.toCharArray()) {
         lines.append("w1 send raw ").append(String.format("%02x", (int) piece)).append('\n');
       }
-      s.play(
+      scenario.play(
           lines
-              + "c1 expect [1,1,null told\nw1 send 200 n=w again\nc1 send 2 heartbeat\nc1 expect [1,2,null,[true");
-      assertEquals(0, s.server.counters().get(Count.ATTEMPTS_RESET));
+              + "c1 expect [1,1,null told\n"
+              + "w1 send 200 n=w again\n"
+              + "c1 send 2 heartbeat\n"
+              + "c1 expect [1,2,null,[true");
+      assertEquals(0, scenario.server.counters().get(Count.ATTEMPTS_RESET));
     }
   }
 
-  // ---------------------------------------------------------------- clients' connections
+  // ---------------------------------------------------------------- client connections
 
-  /** Half a message never comes to its end: what came whole before it keeps its answer. */
+  /**
+   * Half a message never becomes complete: calls that came complete before it keep their answer.
+   */
   @Test
-  public void aMessageThatStopsMidwayCostsNoOpenCall() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.play(
+  public void aTruncatedMessageCostsNoOpenCall() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.play(
           """
           c1 send 1 slot-change budget=9000
           w1 expect RUN
@@ -311,238 +354,250 @@
   }
 
   /**
-   * A request comes in the instant in which its connection is closed as idle, and lies unread
-   * beside that.
+   * A request arrives in the instant in which its connection is closed as idle, and lies unread
+   * meanwhile.
    */
   @Test
   public void aRequestThatCrossesAnIdleCloseIsAnswered() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.worker("w1").answersAll = true;
-      s.play("c1 send 9 heartbeat\nc1 expect [1,9,null");
-      s.playAcross(4_900, 200, "c1 send 1 date-lookup");
-      s.play("c1 expect [1,1,"); // it may well be that a machine as late as this refuses it
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.worker("w1").answersAll = true;
+      scenario.play("c1 send 9 heartbeat\nc1 expect [1,9,null");
+      scenario.playAcross(4_900, 200, "c1 send 1 date-lookup");
+      // Any answer will do, as a process that runs this late may refuse the call.
+      scenario.play("c1 expect [1,1,");
     }
   }
 
   /**
-   * A request lies unread on the connection that is idle for longest when a newcomer needs its
+   * A request lies unread on the connection that has been idle longest when a new client needs its
    * place.
    */
   @Test
   public void aRequestThatCrossesADisplacementIsServed() throws Exception {
-    try (Scenario s = new Scenario(128, false, "{}", "w1")) {
-      s.worker("w1").answersAll = true;
-      int most =
-          128 - 40 - 88 / 3
-              - 128 / 8; // places for clients: less the headroom, links' and the invoke API's
-      s.play(each(most, "c-old# send 1 heartbeat\nc-old# expect [1,1,null"));
-      assertEquals(0, s.server.counters().get(Count.CLIENTS_DISPLACED));
-      s.playUnseen("c-new send 99 date-lookup\nc-old1 send 3 date-lookup", () -> {});
-      s.play("c-old1 expect [1,3,null\nc-new expect [1,99,null\nc-old2 expect close");
+    try (Scenario scenario = new Scenario(128, false, "{}", "w1")) {
+      scenario.worker("w1").answersAll = true;
+      // The limit less the headroom and the shares of worker connections and of the invoke API.
+      int clientPlaces = 128 - 40 - 88 / 3 - 128 / 8;
+      scenario.play(repeat(clientPlaces, "c-old# send 1 heartbeat\nc-old# expect [1,1,null"));
+      assertEquals(0, scenario.server.counters().get(Count.CLIENTS_DISPLACED));
+      scenario.playUnseen("c-new send 99 date-lookup\nc-old1 send 3 date-lookup", () -> {});
+      scenario.play("c-old1 expect [1,3,null\nc-new expect [1,99,null\nc-old2 expect close");
     }
   }
 
-  // ---------------------------------------------------------------- the end of the process
+  // ---------------------------------------------------------------- shutdown of the process
 
-  /** It does not end before the last answer has left, however slowly its client takes it. */
+  /**
+   * The process does not end before the last answer has been written, however slowly its client
+   * reads it.
+   */
   @Test
   public void theProcessWaitsUntilTheLastAnswerHasLeft() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
+    try (Scenario scenario = Scenario.of("w1")) {
       String body = "long".repeat(57_500);
-      s.worker("w1").longAnswer = body;
-      s.worker("w1").answersAll = true;
-      s.play(
-          each(
-              20,
-              "c1 send # date-lookup")); // and reads none of it yet: more than the system takes in
-      // its place
-      s.await(Count.CALLS_SERVED, 19);
-      Thread leave = new Thread(s.server::leave);
-      leave.start();
-      leave.join(1_000); // more than calls are taken for
-      assertTrue("ended with an answer half written", leave.isAlive());
-      s.play(each(20, "c1 expect [1,"));
-      leave.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
-      assertFalse(leave.isAlive());
+      scenario.worker("w1").longAnswer = body;
+      scenario.worker("w1").answersAll = true;
+      // The client reads none of the answers yet, which are more than the socket buffers hold.
+      scenario.play(repeat(20, "c1 send # date-lookup"));
+      scenario.await(Count.CALLS_SERVED, 19);
+      Thread shutdown = new Thread(scenario.server::leave);
+      shutdown.start();
+      // Longer than new calls are accepted after the start of the shutdown.
+      shutdown.join(1_000);
+      assertTrue("ended with an answer half written", shutdown.isAlive());
+      scenario.play(repeat(20, "c1 expect [1,"));
+      shutdown.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
+      assertFalse(shutdown.isAlive());
     }
   }
 
   /**
-   * Told to end with a call that waits for a connection, one that lies unread, and half of one:
-   * what was taken is answered.
+   * The process shuts down with a call that waits for a connection, one that lies unread, and half
+   * of one: every call that it accepted is answered.
    */
   @Test
-  public void anEndFinishesCallsInEachState() throws Exception {
-    try (Scenario s = Scenario.with(PATIENT, "w1-held")) {
-      s.play("c1 send 1 slot-change budget=9000");
-      s.await(Count.ATTEMPTS_SENT, 0);
-      s.play("c4 send raw 94");
-      Thread leave = new Thread(s.server::leave);
-      leave.start();
-      while (s.server.isFit()) {
-        Thread.onSpinWait(); // the event that is waited for
+  public void aShutdownFinishesCallsInEachState() throws Exception {
+    try (Scenario scenario = Scenario.with(LATE_CONNECTIONS, "w1-held")) {
+      scenario.play("c1 send 1 slot-change budget=9000");
+      scenario.await(Count.ATTEMPTS_SENT, 0);
+      scenario.play("c4 send raw 94");
+      Thread shutdown = new Thread(scenario.server::leave);
+      shutdown.start();
+      while (scenario.server.isFit()) {
+        Thread.onSpinWait();
       }
-      s.playUnseen("c2 send 2 slot-change budget=9000", () -> {});
-      s.worker("w1-held").answersAll = true;
-      s.play("w1-held send up\nc1 expect [1,1,null\nc2 expect [1,2,null");
-      leave.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
-      assertFalse(leave.isAlive());
+      scenario.playUnseen("c2 send 2 slot-change budget=9000", () -> {});
+      scenario.worker("w1-held").answersAll = true;
+      scenario.play("w1-held send up\nc1 expect [1,1,null\nc2 expect [1,2,null");
+      shutdown.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
+      assertFalse(shutdown.isAlive());
     }
   }
 
   /**
    * A connection is accepted, and a request written to it, in the instant in which a process
-   * without a successor is about to end. Where the process is quicker the connection is refused,
-   * and nothing was taken; a listener that stays open to the end refuses none.
+   * without a successor is about to end. Where the process is faster, the connection is refused and
+   * no call was accepted; a listener that stays open to the end refuses none.
    */
   @Test
-  public void aConnectionThatIsAcceptedAtTheEndIsServed() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      Thread leave = new Thread(s.server::leave);
-      leave.start();
-      while (s.server.isFit()) {
-        Thread.onSpinWait(); // the event that is waited for
+  public void aConnectionThatIsAcceptedAtShutdownIsServed() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      Thread shutdown = new Thread(scenario.server::leave);
+      shutdown.start();
+      while (scenario.server.isFit()) {
+        Thread.onSpinWait();
       }
-      // Behind the process's own timer, for as long: what it posts then has run two turns later,
-      // and nothing was owed.
+      // Blocks the event loop from the moment on when the process's own timer is due, which also
+      // runs for 700 ms. What that timer posts has run two turns of the loop later, and no answer
+      // was due until then.
       try {
-        s.playAcross(700, 40, "c1 send 1 date-lookup budget=9000");
-        s.play("w1 expect RUN 2d41");
-        assertTrue("ended with a call in hand", leave.isAlive());
-        s.play("w1 send 200 n=w told\nc1 expect [1,1,null told");
+        scenario.playAcross(700, 40, "c1 send 1 date-lookup budget=9000");
+        scenario.play("w1 expect RUN 2d41");
+        assertTrue("ended with a call in flight", shutdown.isAlive());
+        scenario.play("w1 send 200 n=w told\nc1 expect [1,1,null told");
       } catch (AssertionError e) {
         if (!(e.getCause() != null && e.getCause().getCause() instanceof ConnectException)) {
           throw e;
         }
       }
-      leave.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
-      assertFalse(leave.isAlive());
+      shutdown.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
+      assertFalse(shutdown.isAlive());
     }
   }
 
   /**
-   * Half of a request has come when the process is told to end: it takes the rest, and answers, at
-   * both fronts.
+   * Half of a request has arrived when the process is told to end: the process reads the rest and
+   * answers, on both fronts.
    */
   @Test
-  public void anEndWaitsForTheRestOfARequest() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.worker("w1").answersAll = true;
-      s.play(
-          "c1 send 9 heartbeat\nc1 expect [1,9,null\nc1 send half 1 date-lookup budget=9000\n"
-              + "r1 send POST /v1/functions/7f3a9c21e0b4d655/invocations HTTP/1.1|Host: x|Invoke-Class: date-lookup|"
-              + "Invoke-Tenant: central-council|Content-Length: 8||half");
-      Thread leave = new Thread(s.server::leave);
-      leave.start();
-      leave.join(1_000); // more than calls are taken for
-      assertTrue("ended with half of a request unread", leave.isAlive());
-      s.play("c1 send rest\nc1 expect [1,1,null");
-      leave.join(100);
-      assertTrue("ended with half of a body unread", leave.isAlive());
-      s.play("r1 send rest\nr1 expect halfrest");
-      leave.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
-      assertFalse(leave.isAlive());
+  public void aShutdownWaitsForTheRestOfARequest() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.worker("w1").answersAll = true;
+      scenario.play(
+          "c1 send 9 heartbeat\n"
+              + "c1 expect [1,9,null\n"
+              + "c1 send half 1 date-lookup budget=9000\n"
+              + "r1 send POST /v1/functions/7f3a9c21e0b4d655/invocations HTTP/1.1|"
+              + "Host: x|Invoke-Class: date-lookup|Invoke-Tenant: central-council|"
+              + "Content-Length: 8||half");
+      Thread shutdown = new Thread(scenario.server::leave);
+      shutdown.start();
+      // Longer than new calls are accepted after the start of the shutdown.
+      shutdown.join(1_000);
+      assertTrue("ended with half of a request unread", shutdown.isAlive());
+      scenario.play("c1 send rest\nc1 expect [1,1,null");
+      shutdown.join(100);
+      assertTrue("ended with half of a body unread", shutdown.isAlive());
+      scenario.play("r1 send rest\nr1 expect halfrest");
+      shutdown.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
+      assertFalse(shutdown.isAlive());
     }
   }
 
-  // ---------------------------------------------------------------- the list
+  // ---------------------------------------------------------------- worker list
 
-  /** Events without a number or without lines are passed over, whatever comes with them. */
+  /**
+   * Events without a sequence number or without entries are skipped, whatever else they contain.
+   */
   @Test
-  public void anUnreadableEventDoesNotSilenceTheList() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.tellUnreadable(
+  public void anUnreadableEventDoesNotStopListUpdates() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.tellUnreadable(
           "{\"fleet\":{\"snapshot\":false}}",
           "{\"seq\":3,\"fleet\":{\"snapshot\":false}}",
           "{\"seq\":4,\"fleet\":{\"snapshot\":{},\"endpoints\":[]}}",
           "7");
-      s.join("w2");
-      assertEquals(4, s.server.counters().get(Count.LINES_UNREADABLE));
+      scenario.join("w2");
+      assertEquals(4, scenario.server.counters().get(Count.LINES_UNREADABLE));
     }
   }
 
   /**
-   * The change log moves, and the signal comes, while a front end starts and has read the old
-   * address.
+   * The change log moves, and the signal comes, while a front end starts and has already read the
+   * old address.
    */
   @Test
-  public void aMoveThatIsToldDuringTheStartIsTaken() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.startAsTheRollMoves();
-      s.join("w2");
+  public void aMoveSignalledDuringStartupIsApplied() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.startAsTheRollMoves();
+      scenario.join("w2");
     }
   }
 
-  /** A line that can't be read is passed over: else the list would be quiet for good. */
+  /**
+   * An entry that can't be read is skipped: otherwise no further update of the list would be
+   * applied.
+   */
   @Test
-  public void anUnreadableLineDoesNotSilenceTheList() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.tellWhole(true);
-      s.worker("w1").answersAll = true;
-      s.play(
-          "c1 send 1 date-lookup\nc1 expect [1,1,null"); // w1 was not in it, but it was not whole
-      s.join("w2");
-      assertEquals(1, s.server.counters().get(Count.LINES_UNREADABLE));
+  public void anUnreadableEntryDoesNotStopListUpdates() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.tellWhole(true);
+      scenario.worker("w1").answersAll = true;
+      // The list lacked w1, but one of its entries was unreadable, so w1 stays.
+      scenario.play("c1 send 1 date-lookup\nc1 expect [1,1,null");
+      scenario.join("w2");
+      assertEquals(1, scenario.server.counters().get(Count.LINES_UNREADABLE));
     }
   }
 
-  /** A whole list that lacks a known worker: that one is gone, while the old poll hangs or not. */
+  /** A known worker that a full list lacks is removed, whether or not the old poll hangs. */
   @Test
-  public void aWholeListWithoutAKnownWorkerEndsIt() throws Exception {
-    try (Scenario s = Scenario.of("w1", "w2")) {
-      s.worker("w2").answersAll = true;
-      s.spoilPolls(Spoilt.SILENT);
-      s.tellWhole(false, "w2");
-      s.play(each(8, "c1 send # date-lookup\nc1 expect [1,#,null") + "\nw1 wait 1");
+  public void aFullListWithoutAKnownWorkerRemovesIt() throws Exception {
+    try (Scenario scenario = Scenario.of("w1", "w2")) {
+      scenario.worker("w2").answersAll = true;
+      scenario.spoilPolls(Spoilt.SILENT);
+      scenario.tellWhole(false, "w2");
+      scenario.play(repeat(8, "c1 send # date-lookup\nc1 expect [1,#,null") + "\nw1 wait 1");
     }
   }
 
   /**
-   * Two signals in a row, the second before the first address was asked or while it says nothing.
+   * Two signals in a row, the second before the first address was polled or while it does not
+   * respond.
    */
   @Test
   public void theChangeLogMovesTwiceInARow() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.moveRoll();
-      s.moveRoll();
-      s.join("w2");
-      s.spoilPolls(Spoilt.SILENT, Spoilt.STALLED);
-      s.moveRoll();
-      s.moveRoll();
-      s.join("w3");
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.moveRoll();
+      scenario.moveRoll();
+      scenario.join("w2");
+      scenario.spoilPolls(Spoilt.SILENT, Spoilt.STALLED);
+      scenario.moveRoll();
+      scenario.moveRoll();
+      scenario.join("w3");
     }
   }
 
   /**
-   * The signal comes while the new file is half written: it is taken once it is whole, without
-   * another signal.
+   * The signal comes while the new file is half written: the file is applied once it is complete,
+   * without another signal.
    */
   @Test
-  public void aConfigurationThatIsHalfWrittenIsTakenWhenItIsWhole() throws Exception {
-    try (Scenario s = Scenario.of("w1")) {
-      s.moveRollBy(
+  public void aHalfWrittenConfigurationIsAppliedOnceItIsComplete() throws Exception {
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.moveRollBy(
           whole -> {
-            s.reload(whole.substring(0, whole.length() / 2), Count.CONFIGS_REFUSED);
-            s.write(whole);
-            s.await(Count.CONFIGS_TAKEN, 0);
+            scenario.reload(whole.substring(0, whole.length() / 2), Count.CONFIGS_REFUSED);
+            scenario.write(whole);
+            scenario.await(Count.CONFIGS_TAKEN, 0);
           });
-      s.join("w2");
+      scenario.join("w2");
     }
   }
 
   /**
-   * Idle clients hold all the places they can get while discovery is down: it comes back, and
+   * Idle clients hold all connections they can get while discovery is down: once it is back,
    * workers are reached.
    */
   @Test
-  public void idleClientsDoNotKeepDiscoveryAway() throws Exception {
-    try (Scenario s = new Scenario(128, false, "{}", "w1")) {
-      s.spoilPolls(Spoilt.ERROR, Spoilt.SILENT, Spoilt.ERROR);
-      s.play(each(90, "c-idle# send 1 heartbeat\nc-idle# expect [1,1,null"));
-      s.tell("w1", "terminated");
-      s.join("w2");
-      s.worker("w2").answersAll = true;
-      s.play("c1 send 2 date-lookup\nc1 expect [1,2,null");
+  public void idleClientsDoNotBlockDiscovery() throws Exception {
+    try (Scenario scenario = new Scenario(128, false, "{}", "w1")) {
+      scenario.spoilPolls(Spoilt.ERROR, Spoilt.SILENT, Spoilt.ERROR);
+      scenario.play(repeat(90, "c-idle# send 1 heartbeat\nc-idle# expect [1,1,null"));
+      scenario.tell("w1", "terminated");
+      scenario.join("w2");
+      scenario.worker("w2").answersAll = true;
+      scenario.play("c1 send 2 date-lookup\nc1 expect [1,2,null");
     }
   }
 }
--- a/src/test/java/umberrun/DiscoveryOutageIT.java
+++ b/src/test/java/umberrun/DiscoveryOutageIT.java
@@ -16,62 +16,59 @@
 import umberrun.Processes.Reach;
 
 /**
- * Discovery is out of reach of real front ends while workers drain.
+ * Discovery is unreachable for real front ends while workers drain.
  *
- * <p>Symptom: with discovery away, workers that began to drain just afterwards got new work, calls
- * and orders to load, for as long as the outage lasted: 1,088 calls and 927 orders in the
- * operators' trial, each turned away with 503.
- *
- * <p>Sequence: the change log stops answering (refused, silent or 503); 0.4 s later two busy
- * workers drain and answer 503; no front end hears of it; 7 s after the drain it counts as told, 1
- * s later the grace is over, and work goes on arriving.
- *
- * <p>Cause: what the list had said last held for ever. {@code WorkerPool.mayStart} knew only what
- * was pushed, and nothing dated it.
+ * <p>Guards against new work, both calls and preload requests, being sent for as long as the outage
+ * lasts to workers that begin to drain during it, each rejected with 503. This comes about if the
+ * last state on the worker list counts without end: the change log stops answering (refused, silent
+ * or 503), two busy workers drain 0.4 s later, and no front end is told. 7 s after the drain it
+ * counts as reported, and 1 s later the grace is over; from then on no work may arrive.
  */
 public class DiscoveryOutageIT {
-  /** What happens until this long after a signal for a new configuration counts as told then. */
-  private static final long TOLD_AFTER_SIGNAL_MILLIS = 4_000;
+  /** Changes until this long after the signal for a new configuration count as reported then. */
+  private static final long REPORT_DELAY_AFTER_MOVE_MILLIS = 4_000;
 
+  /** How long after the start of the outage workers begin to drain. */
   private static final long BEFORE_DRAIN_MILLIS = 400;
 
-  /** By then a drain has been told, where discovery is well, and its grace is over. */
-  private static final long HEARD_MILLIS = 2_500;
+  /** By then a drain has been reported, where discovery responds, and its grace is over. */
+  private static final long REPORTED_MILLIS = 2_500;
 
   /**
-   * Each of two front ends tries each of two such workers every 8 s at the latest, and a wait may
-   * have begun just before.
+   * Calls that may be sent too late where discovery does not report a drain: each of two front ends
+   * tries each of two such workers every 8 s at the latest, and an interval may have begun just
+   * before.
    */
-  private static final int MOST_LATE_UNTOLD = 8;
+  private static final int MAX_LATE_UNREPORTED = 8;
 
-  private static final long PATIENCE_SECONDS = 10;
+  private static final long TIMEOUT_SECONDS = 10;
 
   private Processes fleet;
-  private final List<DrainableWorker> hosts = new ArrayList<>();
+  private final List<DrainableWorker> workers = new ArrayList<>();
 
   /**
-   * For how long after its drain a worker may get work from a front end, where that is less than
-   * usual.
+   * How long after its drain a worker may get work of a front end, by the index of the front end,
+   * where that is less than usual.
    */
   private final Map<Integer, Long> allowedMillis = new ConcurrentHashMap<>();
 
-  private final AtomicInteger calls = new AtomicInteger();
-  private final AtomicInteger errors = new AtomicInteger();
+  private final AtomicInteger callCount = new AtomicInteger();
+  private final AtomicInteger errorCount = new AtomicInteger();
 
   private long allowed(int node) {
     return allowedMillis.getOrDefault(node, DrainableWorker.TOLD_AND_GRACE_MILLIS);
   }
 
-  private void start(int size, int workers, int pauseMillis) throws Exception {
-    fleet = new Processes(size, workers, null);
+  private void start(int size, int workerCount, int pauseMillis) throws Exception {
+    fleet = new Processes(size, workerCount, null);
     fleet.pauseMillis = pauseMillis;
     fleet.seen =
         (n, micros, error) -> {
-          calls.incrementAndGet();
-          errors.addAndGet(error == null ? 0 : 1);
+          callCount.incrementAndGet();
+          errorCount.addAndGet(error == null ? 0 : 1);
         };
-    for (int i = 0; i < workers; i++) {
-      hosts.add(new DrainableWorker(fleet, i, this::allowed));
+    for (int i = 0; i < workerCount; i++) {
+      workers.add(new DrainableWorker(fleet, i, this::allowed));
     }
   }
 
@@ -93,9 +90,10 @@
 
   private List<DrainableWorker> drainTheBusiest(int count) {
     List<DrainableWorker> busiest =
-        hosts.stream()
-            .filter(h -> !h.isDraining())
-            .sorted(Comparator.comparingInt((DrainableWorker h) -> h.work.get()).reversed())
+        workers.stream()
+            .filter(worker -> !worker.isDraining())
+            .sorted(
+                Comparator.comparingInt((DrainableWorker worker) -> worker.work.get()).reversed())
             .limit(count)
             .toList();
     busiest.forEach(DrainableWorker::drain);
@@ -105,88 +103,97 @@
   private static void assertNoneLate(List<DrainableWorker> drained) {
     StringBuilder late = new StringBuilder();
     drained.forEach(
-        h ->
+        worker ->
             late.append(
-                h.late.isEmpty()
+                worker.late.isEmpty()
                     ? ""
                     : "w"
-                        + h.number
+                        + worker.number
                         + " got "
-                        + h.late.size()
+                        + worker.late.size()
                         + " late, first "
-                        + h.late.peek()
+                        + worker.late.peek()
                         + "; "));
     assertEquals("", late.toString());
   }
 
-  /** Refused, silent, failing, and refused with no calls for ten seconds: one front end each. */
+  /**
+   * Four front ends whose requests to discovery are refused, hang, fail, and are refused while the
+   * front end has no calls for ten seconds.
+   */
   @Test
-  public void nothingNewIsSentToWhatDrainsMeanwhile() throws Exception {
+  public void noNewWorkIsSentToWorkersThatDrainDuringAnOutage() throws Exception {
     start(4, 8, 30);
-    Processes.await("too few calls", PATIENCE_SECONDS, () -> calls.get() > 400);
+    Processes.await("too few calls", TIMEOUT_SECONDS, () -> callCount.get() > 400);
     reach(Reach.REFUSES, Reach.HANGS, Reach.FAILS, Reach.REFUSES);
     node(3).quiet = true;
     Thread.sleep(BEFORE_DRAIN_MILLIS);
-    List<DrainableWorker> drained = drainTheBusiest(2);
+    List<DrainableWorker> draining = drainTheBusiest(2);
     Thread.sleep(10_000);
     node(3).quiet = false;
     Thread.sleep(4_000);
     reach(Reach.WELL, Reach.WELL, Reach.WELL, Reach.WELL);
-    int[] before = hosts.stream().mapToInt(h -> h.work.get()).toArray();
+    int[] before = workers.stream().mapToInt(worker -> worker.work.get()).toArray();
     Processes.await(
         "a ready worker gets no work once discovery is back",
-        PATIENCE_SECONDS,
-        () -> hosts.stream().allMatch(h -> drained.contains(h) || h.work.get() > before[h.number]));
-    assertNoneLate(drained);
-    assertTrue(errors + " of " + calls + " calls were not served", errors.get() < calls.get() / 50);
+        TIMEOUT_SECONDS,
+        () ->
+            workers.stream()
+                .allMatch(
+                    worker ->
+                        draining.contains(worker) || worker.work.get() > before[worker.number]));
+    assertNoneLate(draining);
+    assertTrue(
+        errorCount + " of " + callCount + " calls were not served",
+        errorCount.get() < callCount.get() / 50);
   }
 
   /**
-   * Four front ends with two and a half calls a second each, sixteen workers, and nobody drains:
-   * nothing gets worse, nobody is starved.
+   * Four front ends with 2.5 calls a second each, sixteen workers, and none that drains: no call
+   * fails, and no worker stops getting work.
    */
   @Test
-  public void nobodyIsStarvedWhereNobodyDrains() throws Exception {
+  public void noWorkerIsStarvedDuringAnOutageWithoutDrains() throws Exception {
     start(4, 16, 400);
     fleet.drawn = true;
-    Processes.await("too few calls", 4 * PATIENCE_SECONDS, () -> calls.get() > 160);
-    int[] usual = hosts.stream().mapToInt(h -> h.work.get()).toArray();
+    Processes.await("too few calls", 4 * TIMEOUT_SECONDS, () -> callCount.get() > 160);
+    int[] workBeforeOutage = workers.stream().mapToInt(worker -> worker.work.get()).toArray();
     reach(Reach.REFUSES, Reach.REFUSES, Reach.HANGS, Reach.FAILS);
 
     Thread.sleep(15_000);
 
-    int[] before = hosts.stream().mapToInt(h -> h.work.get()).toArray();
+    int[] before = workers.stream().mapToInt(worker -> worker.work.get()).toArray();
     Thread.sleep(10_000);
 
-    for (DrainableWorker h : hosts) {
+    for (DrainableWorker worker : workers) {
       assertTrue(
-          "w" + h.number + " gets nothing",
-          h.work.get() > before[h.number] || usual[h.number] == 0);
+          "w" + worker.number + " gets nothing",
+          worker.work.get() > before[worker.number] || workBeforeOutage[worker.number] == 0);
     }
-    assertEquals(0, errors.get());
+    assertEquals(0, errorCount.get());
   }
 
   /**
-   * Within the outage one front end is upgraded with the configuration of its start, which does not
-   * know of a drain that all have heard, one is killed and started again, one is told that
-   * discovery has moved to where nobody listens, and one stands still across the end of its leases.
+   * During the outage, one front end is upgraded with the configuration of its start, which does
+   * not contain a drain that was reported to all; one is killed and started again; one is given a
+   * discovery address where nothing listens; and one is stopped while its leases end.
    */
   @Test
-  public void startsMovesAndLateMachinesKeepTheRuleToo() throws Exception {
+  public void upgradesRestartsMovesAndStallsKeepTheLimitToo() throws Exception {
     start(4, 8, 30);
-    Processes.await("too few calls", PATIENCE_SECONDS, () -> calls.get() > 400);
-    DrainableWorker heard = drainTheBusiest(1).get(0);
-    Thread.sleep(HEARD_MILLIS);
-    int usual = heard.work.get();
+    Processes.await("too few calls", TIMEOUT_SECONDS, () -> callCount.get() > 400);
+    DrainableWorker reported = drainTheBusiest(1).get(0);
+    Thread.sleep(REPORTED_MILLIS);
+    int workBeforeOutage = reported.work.get();
     reach(Reach.REFUSES, Reach.REFUSES, Reach.REFUSES, Reach.REFUSES);
     Thread.sleep(BEFORE_DRAIN_MILLIS);
-    List<DrainableWorker> drained = drainTheBusiest(2);
+    List<DrainableWorker> draining = drainTheBusiest(2);
     long drainedAt = System.nanoTime();
     node(0).keepsConfiguration = true;
     fleet.moveDiscovery(node(2));
     allowedMillis.put(
         2,
-        TOLD_AFTER_SIGNAL_MILLIS
+        REPORT_DELAY_AFTER_MOVE_MILLIS
             + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainedAt)
             + 1_050);
     node(1).kill();
@@ -198,17 +205,20 @@
     sleepUntil(drainedAt, 9_000);
     node(3).signal("CONT");
     sleepUntil(drainedAt, 14_000);
-    int[] before = hosts.stream().mapToInt(h -> h.work.get()).toArray();
+    int[] before = workers.stream().mapToInt(worker -> worker.work.get()).toArray();
     reach(Reach.WELL, Reach.WELL, Reach.WELL, Reach.WELL);
     Processes.await(
         "a ready worker gets no work once discovery is back",
-        PATIENCE_SECONDS,
-        () -> hosts.stream().allMatch(h -> h.isDraining() || h.work.get() > before[h.number]));
-    assertNoneLate(drained);
-    assertEquals("sent to one whose drain was heard", usual, heard.work.get());
+        TIMEOUT_SECONDS,
+        () ->
+            workers.stream()
+                .allMatch(
+                    worker -> worker.isDraining() || worker.work.get() > before[worker.number]));
+    assertNoneLate(draining);
+    assertEquals(
+        "work sent to a worker whose drain was reported", workBeforeOutage, reported.work.get());
     assertTrue(
-        "the successor did not go on with the leases",
-        node(0).said().contains("leases of workers"));
+        "the successor did not take over the leases", node(0).said().contains("leases of workers"));
   }
 
   private static void sleepUntil(long since, long millis) throws InterruptedException {
@@ -216,19 +226,21 @@
   }
 
   /**
-   * Discovery answers in time and tells nothing of the drain: only that each call is turned away
-   * shows it.
+   * Discovery responds in time but does not report the drain, which shows only in the rejected
+   * calls.
    */
   @Test
-  public void whereDiscoveryTellsNothingFewAreSent() throws Exception {
+  public void staleDiscoverySendsOnlyFewCalls() throws Exception {
     start(2, 8, 30);
-    Processes.await("too few calls", PATIENCE_SECONDS, () -> calls.get() > 400);
+    Processes.await("too few calls", TIMEOUT_SECONDS, () -> callCount.get() > 400);
     reach(Reach.STALE, Reach.STALE);
     Thread.sleep(BEFORE_DRAIN_MILLIS);
-    List<DrainableWorker> drained = drainTheBusiest(2);
+    List<DrainableWorker> draining = drainTheBusiest(2);
     Thread.sleep(16_000);
-    int late = drained.stream().mapToInt(h -> h.late.size()).sum();
-    assertTrue(late + " calls were sent past told time and grace", late <= MOST_LATE_UNTOLD);
-    assertTrue(errors + " of " + calls + " calls were not served", errors.get() < calls.get() / 50);
+    int late = draining.stream().mapToInt(worker -> worker.late.size()).sum();
+    assertTrue(late + " calls were sent after report delay and grace", late <= MAX_LATE_UNREPORTED);
+    assertTrue(
+        errorCount + " of " + callCount + " calls were not served",
+        errorCount.get() < callCount.get() / 50);
   }
 }
--- a/src/test/java/umberrun/DrainableWorker.java
+++ b/src/test/java/umberrun/DrainableWorker.java
@@ -8,34 +8,41 @@
 import java.util.function.IntToLongFunction;
 
 /**
- * A stand-in worker that notes what comes. Draining, it turns new work away, and says to whoever
- * just asks that it is well: no front end may take that for a permission.
+ * An emulated worker that records the work it is sent. While draining it rejects new work with 503
+ * but still answers probes positively, which no front end may take as permission to send work.
  */
 final class DrainableWorker {
   /**
-   * After which what discovery has to tell counts as told, the settings' grace, and the slack of
-   * all time limits.
+   * How long after its drain a worker may still get work: the delay after which a drain counts as
+   * reported, the grace of the settings, and a tolerance for timers.
    */
   static final long TOLD_AND_GRACE_MILLIS = 7_000 + 1_000 + 50;
 
-  /** Ids of calls tell which front end's client made them. */
-  private static final long IDS_EACH = 1_000_000;
+  /**
+   * Call ids are allotted to the client of each front end in blocks of this size, so an id shows
+   * the front end that the call came through.
+   */
+  private static final long IDS_PER_FRONT_END = 1_000_000;
 
   final int number;
+
+  /** Calls received. */
   final AtomicInteger work = new AtomicInteger();
-  final AtomicInteger orders = new AtomicInteger();
 
-  /** Calls and orders that came too long after the drain. */
+  /** Preload requests received. */
+  final AtomicInteger preloads = new AtomicInteger();
+
+  /** Calls and preload requests that came too long after the drain. */
   final ConcurrentLinkedQueue<String> late = new ConcurrentLinkedQueue<>();
 
   private final Processes fleet;
   private final IntToLongFunction allowedMillis;
-  private volatile long drainsAt;
-  private volatile boolean drains;
+  private volatile long drainedAt;
+  private volatile boolean draining;
 
   /**
-   * @param allowedMillis for how long after its drain it may get work from the clients of a front
-   *     end; of orders with -1
+   * @param allowedMillis how long after its drain the worker may get calls of a front end, by the
+   *     index of the front end, or preload requests, with index -1
    */
   DrainableWorker(Processes fleet, int number, IntToLongFunction allowedMillis) {
     this.fleet = fleet;
@@ -46,51 +53,52 @@
 
   private void serve(Scenario.Command command) {
     List<String> words = command.words();
-    boolean order = words.get(0).equals("HOLD") && !words.get(2).endsWith("pods=0");
-    boolean isWork = order || words.get(0).equals("RUN");
-    boolean turnsAway = drains;
+    boolean isPreload = words.get(0).equals("HOLD") && !words.get(2).endsWith("pods=0");
+    boolean isWork = isPreload || words.get(0).equals("RUN");
+    boolean rejects = draining;
     if (isWork) {
-      (order ? orders : work).incrementAndGet();
-      long since = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainsAt);
-      int node = order ? -1 : (int) (Long.parseLong(words.get(1), 16) / IDS_EACH);
-      if (turnsAway && since > allowedMillis.applyAsLong(node)) {
-        late.add(words.get(0) + " " + words.get(1) + " at " + since + " ms");
+      (isPreload ? preloads : work).incrementAndGet();
+      long sinceDrainMillis = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - drainedAt);
+      int frontEnd = isPreload ? -1 : (int) (Long.parseLong(words.get(1), 16) / IDS_PER_FRONT_END);
+      if (rejects && sinceDrainMillis > allowedMillis.applyAsLong(frontEnd)) {
+        late.add(words.get(0) + " " + words.get(1) + " at " + sinceDrainMillis + " ms");
       }
     }
     if (!words.get(0).equals("STOP") && !words.get(0).equals("FREE")) {
       answer(
           command,
-          isWork && turnsAway ? "503" : isWork || words.get(0).equals("HOLD") ? "200" : "alive");
+          isWork && rejects ? "503" : isWork || words.get(0).equals("HOLD") ? "200" : "alive");
     }
   }
 
-  private static void answer(Scenario.Command command, String word) {
-    boolean call = command.words().get(0).equals("RUN");
+  private static void answer(Scenario.Command command, String status) {
+    boolean isCall = command.words().get(0).equals("RUN");
     try {
       Scenario.Worker.answer(
           command,
-          word,
-          word.equals("503") ? "-" : call ? "n=w" : "pods=1",
-          call ? command.words().get(3) : "");
+          status,
+          status.equals("503") ? "-" : isCall ? "n=w" : "pods=1",
+          isCall ? command.words().get(3) : "");
     } catch (IOException e) {
-      // the front end has closed
+      // The front end has closed the connection.
     }
   }
 
+  /** Whether the worker rejects work. */
   boolean isDraining() {
-    return drains;
+    return draining;
   }
 
-  /** Turns work away from now on; discovery has it to tell. */
+  /** Rejects work from now on, and has discovery list the worker as terminating. */
   void drain() {
-    drainsAt = System.nanoTime();
-    drains = true;
+    drainedAt = System.nanoTime();
+    draining = true;
     fleet.list(number, "terminating", 0);
   }
 
-  /** Takes work again, as one that has just started; discovery has that to tell. */
+  /** Accepts work again, and has discovery list the worker as newly started. */
   void comeBack() {
-    drains = false;
+    draining = false;
     fleet.list(number, "in_service", System.currentTimeMillis());
   }
 }
--- a/src/test/java/umberrun/discovery/WorkerLeasesTest.java
+++ b/src/test/java/umberrun/discovery/WorkerLeasesTest.java
@@ -13,51 +13,49 @@
 import org.junit.Test;
 
 /**
- * Whom new work may be sent to while discovery is out of reach: by seeds on a clock of their own,
- * and the cases that settle a term.
+ * Which workers may be sent new work while discovery is unreachable: seeded random runs on a
+ * simulated clock, and single cases for each time limit. Guards against sending work to a worker
+ * that has begun to drain unnoticed.
  */
 public class WorkerLeasesTest {
-  private static final long SECOND = 1_000_000;
-  private static final long GRACE = SECOND;
-  private static final long STEP = 50_000;
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final long GRACE_MICROS = SECOND_MICROS;
+  private static final long STEP_MICROS = 50_000;
   private static final int SEEDS = 2_000;
   private static final int WORKERS = 6;
-  private static final List<Integer> ALL = IntStream.range(0, WORKERS).boxed().toList();
+  private static final List<Integer> ALL_WORKERS = IntStream.range(0, WORKERS).boxed().toList();
 
   /**
-   * One run: discovery comes and goes and moves, workers drain and come back, calls go where a
-   * lease permits them.
+   * One seeded run: discovery becomes unreachable, returns and moves, workers drain and return, and
+   * calls go wherever a lease permits them.
    */
-  private static final class World {
+  private static final class Simulation {
     final Random random;
-    final DiscoveryContact contact = new DiscoveryContact(GRACE - 200_000);
+    final DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS - 200_000);
     final WorkerLeases leases = new WorkerLeases(contact, 1);
-    final Map<Integer, Long> drainsAt = new HashMap<>();
+    final Map<Integer, Long> drainedAt = new HashMap<>();
     final List<Long> moves = new ArrayList<>();
 
-    /** Answers under way: when a call was sent, by when it is over. */
-    final List<long[]> out = new ArrayList<>();
+    /** Calls in flight: when each was sent, when it ends, and its worker. */
+    final List<long[]> inFlight = new ArrayList<>();
 
-    long now = 100 * SECOND;
-    long awayUntil;
+    long now = 100 * SECOND_MICROS;
+    long unreachableUntil;
     long pollAskedAt = -1;
-    long pollOverAt;
-    long heardAt;
+    long pollEndsAt;
+    long lastResponseAt;
 
-    World(long seed) {
+    Simulation(long seed) {
       random = new Random(seed);
       contact.follow(now, now);
-      heardAt = now;
+      lastResponseAt = now;
     }
 
     void step() {
-      now +=
-          STEP
-              * (random.nextInt(40) == 0
-                  ? 1 + random.nextInt(30)
-                  : 1); // now and then the loop stands still
+      // Now and then the event loop stalls for several steps.
+      now += STEP_MICROS * (random.nextInt(40) == 0 ? 1 + random.nextInt(30) : 1);
       if (random.nextInt(200) == 0) {
-        awayUntil = now + random.nextInt(30) * SECOND;
+        unreachableUntil = now + random.nextInt(30) * SECOND_MICROS;
         pollAskedAt = -1;
       }
       if (random.nextInt(300) == 0) {
@@ -67,38 +65,34 @@
       }
       poll();
       if (random.nextInt(60) == 0) {
-        drainsAt.putIfAbsent(random.nextInt(WORKERS), now);
+        drainedAt.putIfAbsent(random.nextInt(WORKERS), now);
       }
-      answers();
-      leases.review(now, ALL);
+      completeCalls();
+      leases.review(now, ALL_WORKERS);
       if (random.nextInt(4) > 0) {
         send(random.nextInt(WORKERS));
       }
     }
 
     private void poll() {
-      if (now < awayUntil) {
+      if (now < unreachableUntil) {
         return;
       }
       if (pollAskedAt < 0) {
         pollAskedAt = now;
-        pollOverAt = now + random.nextInt(20) * STEP;
-      } else if (now >= pollOverAt) {
+        pollEndsAt = now + random.nextInt(20) * STEP_MICROS;
+      } else if (now >= pollEndsAt) {
         contact.recordResponse(pollAskedAt);
-        heardAt = pollAskedAt;
-        long asked = pollAskedAt;
-        drainsAt
-            .entrySet()
-            .removeIf(
-                d ->
-                    d.getValue() <= asked
-                        && random.nextBoolean()); // told, and some are back by now
+        lastResponseAt = pollAskedAt;
+        long askedAt = pollAskedAt;
+        // Drains up to the request are reported; some of those workers are back by now.
+        drainedAt.entrySet().removeIf(drain -> drain.getValue() <= askedAt && random.nextBoolean());
         pollAskedAt = -1;
       }
     }
 
-    private void answers() {
-      out.removeIf(
+    private void completeCalls() {
+      inFlight.removeIf(
           c -> {
             if (c[1] > now) {
               return false;
@@ -112,33 +106,39 @@
       if (now >= leases.leaseUntil(worker)) {
         return;
       }
-      Long drained = drainsAt.get(worker);
-      if (drained == null) {
-        out.add(new long[] {now, now + random.nextInt(4_000) * 1_000L, worker});
-      } else if (drained > heardAt) { // what was told is the list's to forbid
-        assertTrue("sent " + (now - drained) + " us after a drain", now <= told(drained) + GRACE);
+      Long drainStart = drainedAt.get(worker);
+      if (drainStart == null) {
+        inFlight.add(new long[] {now, now + random.nextInt(4_000) * 1_000L, worker});
+      } else if (drainStart > lastResponseAt) {
+        // Earlier drains are reported, so the list forbids to send there, not the lease.
+        assertTrue(
+            "sent " + (now - drainStart) + " us after a drain",
+            now <= reportedAt(drainStart) + GRACE_MICROS);
       }
     }
 
-    /** When the drain counts as told by the rules, discovery not having been heard since. */
-    private long told(long at) {
+    /**
+     * When a drain counts as reported, discovery not having responded since: 7 s after it, or
+     * sooner where discovery has moved.
+     */
+    private long reportedAt(long at) {
       return Math.min(
-          at + 7 * SECOND,
+          at + 7 * SECOND_MICROS,
           moves.stream()
-              .filter(m -> m > heardAt && at < m + 4 * SECOND)
-              .mapToLong(m -> m + 4 * SECOND)
+              .filter(move -> move > lastResponseAt && at < move + 4 * SECOND_MICROS)
+              .mapToLong(move -> move + 4 * SECOND_MICROS)
               .min()
               .orElse(Long.MAX_VALUE));
     }
   }
 
   @Test
-  public void noSeedSendsPastToldTimeAndGrace() {
+  public void noSeedSendsPastReportDelayAndGrace() {
     for (long seed = 0; seed < SEEDS; seed++) {
-      World world = new World(seed);
+      Simulation simulation = new Simulation(seed);
       for (int i = 0; i < 1_200; i++) {
         try {
-          world.step();
+          simulation.step();
         } catch (AssertionError e) {
           throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
         }
@@ -146,111 +146,116 @@
     }
   }
 
-  private static WorkerLeases lost(DiscoveryContact contact) {
+  private static WorkerLeases followFromZero(DiscoveryContact contact) {
     contact.follow(0, 0);
     return new WorkerLeases(contact, 1);
   }
 
   @Test
-  public void workTakenOnRenewsOneLeaseFromTheMomentItWasSent() {
-    WorkerLeases leases = lost(new DiscoveryContact(GRACE));
-    leases.recordAcceptedWork(1, 3 * SECOND);
-    leases.review(8 * SECOND, ALL);
+  public void acceptedWorkRenewsOneLeaseFromTheMomentItWasSent() {
+    WorkerLeases leases = followFromZero(new DiscoveryContact(GRACE_MICROS));
+    leases.recordAcceptedWork(1, 3 * SECOND_MICROS);
+    leases.review(8 * SECOND_MICROS, ALL_WORKERS);
     assertTrue(leases.isHeldBack(0));
-    assertEquals(11 * SECOND, leases.leaseUntil(1));
+    assertEquals(11 * SECOND_MICROS, leases.leaseUntil(1));
     assertFalse(leases.isHeldBack(1));
-    leases.review(11 * SECOND, ALL);
+    leases.review(11 * SECOND_MICROS, ALL_WORKERS);
     assertTrue(leases.isHeldBack(1));
   }
 
   @Test
-  public void contactReleasesAllAtOnce() {
-    DiscoveryContact contact = new DiscoveryContact(GRACE);
-    WorkerLeases leases = lost(contact);
-    assertEquals(ALL, leases.review(20 * SECOND, ALL).heldBack());
-    contact.recordResponse(20 * SECOND);
-    assertEquals(ALL, leases.review(20 * SECOND, ALL).released());
+  public void aResponseReleasesAllWorkersAtOnce() {
+    DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS);
+    WorkerLeases leases = followFromZero(contact);
+    assertEquals(ALL_WORKERS, leases.review(20 * SECOND_MICROS, ALL_WORKERS).heldBack());
+    contact.recordResponse(20 * SECOND_MICROS);
+    assertEquals(ALL_WORKERS, leases.review(20 * SECOND_MICROS, ALL_WORKERS).released());
   }
 
   @Test
-  public void whileDiscoveryIsWellNothingIsAskedOfAnybody() {
-    DiscoveryContact contact = new DiscoveryContact(GRACE);
-    WorkerLeases leases = lost(contact);
-    for (long now = 0; now < 60 * SECOND; now += SECOND / 4) {
-      contact.recordResponse(now - 2 * SECOND);
-      WorkerLeases.Review review = leases.review(now, ALL);
+  public void whileDiscoveryRespondsNoRenewalIsRequested() {
+    DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS);
+    WorkerLeases leases = followFromZero(contact);
+    for (long now = 0; now < 60 * SECOND_MICROS; now += SECOND_MICROS / 4) {
+      contact.recordResponse(now - 2 * SECOND_MICROS);
+      WorkerLeases.Review review = leases.review(now, ALL_WORKERS);
       assertTrue(review.isEmpty() && review.expiring().isEmpty());
     }
   }
 
   /**
-   * A move to an address that is out of reach shortens what is left; work taken on behind it counts
-   * in full once it is 4 s old.
+   * A move of discovery to an unreachable address shortens the current leases. Work that a worker
+   * accepts later counts in full once the move is 4 s old.
    */
   @Test
-  public void aMoveShortensLeasesUntilDiscoveryIsHeard() {
-    DiscoveryContact contact = new DiscoveryContact(GRACE);
-    WorkerLeases leases = lost(contact);
-    contact.recordResponse(9 * SECOND);
-    contact.recordServerMove(10 * SECOND);
-    assertEquals(15 * SECOND, leases.leaseUntil(0));
-    leases.recordAcceptedWork(0, 13 * SECOND);
-    assertEquals(15 * SECOND, leases.leaseUntil(0));
-    leases.recordAcceptedWork(0, 14 * SECOND);
-    assertEquals(22 * SECOND, leases.leaseUntil(0));
-    contact.recordResponse(9_900_000); // by the old address
-    assertEquals(15 * SECOND, leases.leaseUntil(1));
+  public void aMoveShortensLeasesUntilDiscoveryResponds() {
+    DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS);
+    WorkerLeases leases = followFromZero(contact);
+    contact.recordResponse(9 * SECOND_MICROS);
+    contact.recordServerMove(10 * SECOND_MICROS);
+    assertEquals(15 * SECOND_MICROS, leases.leaseUntil(0));
+    leases.recordAcceptedWork(0, 13 * SECOND_MICROS);
+    assertEquals(15 * SECOND_MICROS, leases.leaseUntil(0));
+    leases.recordAcceptedWork(0, 14 * SECOND_MICROS);
+    assertEquals(22 * SECOND_MICROS, leases.leaseUntil(0));
+    // A response from the old address.
+    contact.recordResponse(9_900_000);
+    assertEquals(15 * SECOND_MICROS, leases.leaseUntil(1));
     contact.recordResponse(10_100_000);
     assertEquals(18_100_000, leases.leaseUntil(1));
   }
 
   @Test
-  public void anAnswerThatBreaksOffShortensThem() {
-    DiscoveryContact contact = new DiscoveryContact(GRACE);
-    WorkerLeases leases = lost(contact);
-    contact.recordAbortedResponse(SECOND);
-    assertEquals(4 * SECOND, leases.leaseUntil(0));
-    leases.recordAcceptedWork(0, SECOND);
-    assertEquals(9 * SECOND, leases.leaseUntil(0));
+  public void aResponseThatIsCutOffShortensLeases() {
+    DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS);
+    WorkerLeases leases = followFromZero(contact);
+    contact.recordAbortedResponse(SECOND_MICROS);
+    assertEquals(4 * SECOND_MICROS, leases.leaseUntil(0));
+    leases.recordAcceptedWork(0, SECOND_MICROS);
+    assertEquals(9 * SECOND_MICROS, leases.leaseUntil(0));
   }
 
   /**
-   * What answers at an address that refused in the meantime has started since, and so is cold, once
-   * that counts as told.
+   * Whatever responds at an address that has refused a connection was started since, so it counts
+   * as newly started once discovery would have reported that.
    */
   @Test
-  public void anAddressThatRefusedIsANewStart() {
-    DiscoveryContact contact = new DiscoveryContact(GRACE);
-    WorkerLeases leases = lost(contact);
-    leases.recordConnectionRefused(2, 4 * SECOND);
-    leases.review(10 * SECOND, ALL);
+  public void anAddressThatRefusedCountsAsRestarted() {
+    DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS);
+    WorkerLeases leases = followFromZero(contact);
+    leases.recordConnectionRefused(2, 4 * SECOND_MICROS);
+    leases.review(10 * SECOND_MICROS, ALL_WORKERS);
     assertEquals(0, leases.startedAt(2));
-    assertEquals(List.of(2), leases.review(11 * SECOND, ALL).restarted());
-    assertEquals(4 * SECOND, leases.startedAt(2));
-    contact.recordResponse(12 * SECOND);
-    assertEquals(List.of(2), leases.review(12 * SECOND, ALL).restarted());
+    assertEquals(List.of(2), leases.review(11 * SECOND_MICROS, ALL_WORKERS).restarted());
+    assertEquals(4 * SECOND_MICROS, leases.startedAt(2));
+    contact.recordResponse(12 * SECOND_MICROS);
+    assertEquals(List.of(2), leases.review(12 * SECOND_MICROS, ALL_WORKERS).restarted());
     assertEquals(0, leases.startedAt(2));
   }
 
   /**
-   * A process that takes over goes on with what was left; its own list may be as old as its
+   * A process that takes over goes on with the remaining leases; its own list may be as old as its
    * configuration.
    */
   @Test
-  public void aSuccessorGoesOnWithTheLeasesOfTheElder() {
-    WorkerLeases elder = lost(new DiscoveryContact(GRACE));
-    elder.recordAcceptedWork(1, 5 * SECOND);
-    elder.review(10 * SECOND, ALL);
-    DiscoveryContact contact = new DiscoveryContact(GRACE);
-    contact.follow(10 * SECOND, 10 * SECOND);
+  public void aSuccessorTakesOverTheLeasesOfItsPredecessor() {
+    WorkerLeases predecessor = followFromZero(new DiscoveryContact(GRACE_MICROS));
+    predecessor.recordAcceptedWork(1, 5 * SECOND_MICROS);
+    predecessor.review(10 * SECOND_MICROS, ALL_WORKERS);
+    DiscoveryContact contact = new DiscoveryContact(GRACE_MICROS);
+    contact.follow(10 * SECOND_MICROS, 10 * SECOND_MICROS);
     WorkerLeases leases = new WorkerLeases(contact, 2);
-    leases.takeOver(elder.remaining(10 * SECOND, ALL), 10 * SECOND, 10 * SECOND);
-    assertEquals(13 * SECOND, leases.leaseUntil(1));
-    assertTrue(leases.leaseUntil(0) < 10 * SECOND);
-    leases.recordAcceptedWork(1, 11 * SECOND);
-    assertEquals(19 * SECOND, leases.leaseUntil(1));
-    contact.recordResponse(12 * SECOND);
-    leases.takeOver(Map.of(), 12 * SECOND, 10 * SECOND); // it has heard discovery itself
-    assertEquals(20 * SECOND, leases.leaseUntil(0));
+    leases.takeOver(
+        predecessor.remaining(10 * SECOND_MICROS, ALL_WORKERS),
+        10 * SECOND_MICROS,
+        10 * SECOND_MICROS);
+    assertEquals(13 * SECOND_MICROS, leases.leaseUntil(1));
+    assertTrue(leases.leaseUntil(0) < 10 * SECOND_MICROS);
+    leases.recordAcceptedWork(1, 11 * SECOND_MICROS);
+    assertEquals(19 * SECOND_MICROS, leases.leaseUntil(1));
+    contact.recordResponse(12 * SECOND_MICROS);
+    // Has no effect, as this process has had a response of discovery itself.
+    leases.takeOver(Map.of(), 12 * SECOND_MICROS, 10 * SECOND_MICROS);
+    assertEquals(20 * SECOND_MICROS, leases.leaseUntil(0));
   }
 }
