--- a/src/main/java/umberrun/core/Endpoint.java
+++ b/src/main/java/umberrun/core/Endpoint.java
@@ -8,8 +8,8 @@
  * @param name the unique name of the worker
  * @param zone index of its hall in the zones of the settings
  * @param kind index of its hardware kind in the kinds of the settings
- * @param cell the failure group that it shares with other workers
- * @param weight its relative capacity
+ * @param cell the group of workers within which a deduplicated call may be retried
+ * @param weight its rating on the list, whose meaning the settings define
  * @param startedAt when it started, in Unix microseconds, or 0 for long ago
  */
 public record Endpoint(
--- a/src/main/java/umberrun/core/Request.java
+++ b/src/main/java/umberrun/core/Request.java
@@ -28,9 +28,9 @@
     Buffer body) {
 
   /**
-   * Resource needs of a call.
+   * Resource needs of the called function.
    *
-   * @param lanes execution slots of a worker that a copy occupies
+   * @param lanes how many calls one copy runs at once
    * @param memoryMb memory of a copy
    * @param loadTime usual time to load a copy, in microseconds
    */
--- a/src/main/java/umberrun/core/WorkerTransport.java
+++ b/src/main/java/umberrun/core/WorkerTransport.java
@@ -38,7 +38,7 @@
   /**
    * How an attempt ended.
    *
-   * @param concurrency calls that ran at the worker at once, or -1 where it did not report them
+   * @param concurrency the number of calls at the copy as the worker reported it, or -1
    * @param loadReport the load report of the worker, or null
    * @param body the response, or null unless served
    */
