--- a/src/main/java/umberrun/front/invoke/InvokeServer.java
+++ b/src/main/java/umberrun/front/invoke/InvokeServer.java
@@ -38,135 +38,141 @@
 import umberrun.stats.Counters;
 import umberrun.stats.Counters.Count;
 
-/** The invoke API over HTTP/1.1: decodes a call, hands it on, encodes its one answer. */
+/**
+ * Serves the invoke API over HTTP/1.1: decodes each call, submits it to the invocation registry and
+ * encodes its answer.
+ */
 public final class InvokeServer {
-  private static final Pattern INVOKE = Pattern.compile("/v1/functions/([^/]+)/invocations");
-  private static final Pattern COLLECT = Pattern.compile("/v1/invocations/([^/]+)");
-  private static final int IDLE_SECONDS = 75;
+  private static final Pattern INVOKE_PATH = Pattern.compile("/v1/functions/([^/]+)/invocations");
+  private static final Pattern INVOCATION_PATH = Pattern.compile("/v1/invocations/([^/]+)");
+  private static final int IDLE_TIMEOUT_SECONDS = 75;
 
   /**
-   * A request must be whole so long after its head, and the first head must come so long after
-   * connecting.
+   * The body of a request must be complete within this time of its header, and the first header
+   * must arrive within this time of connecting.
    */
-  private static final long WHOLE_MILLIS = 5_000;
+  private static final long REQUEST_TIMEOUT_MILLIS = 5_000;
 
+  /** How long a connection stays open after an answer sent before its request was complete. */
   private static final long LINGER_MILLIS = 500;
-  private static final long LEAVING_MILLIS = 1_000;
-  private static final long MOST_POLL_MILLIS = 30_000;
+
+  private static final long SHUTDOWN_RETRY_MILLIS = 1_000;
+  private static final long MAX_POLL_MILLIS = 30_000;
 
   private final Vertx vertx;
   private final HttpServer server;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final InvocationRegistry invocations;
   private final Counters counters;
   private final SettingNames names;
-  private final ConnectionLimits account;
+  private final ConnectionLimits connectionLimits;
   private final SecureRandom random = new SecureRandom();
 
-  /** Connections on which no request has come yet, with the timer of each, the oldest first. */
+  /** Connections without a request so far, with their timeout timers, oldest first. */
   private final Map<HttpConnection, Long> silent = new LinkedHashMap<>();
 
-  private final Set<HttpConnection> all = new LinkedHashSet<>();
-  private final Lifecycle duty;
+  private final Set<HttpConnection> connections = new LinkedHashSet<>();
+  private final Lifecycle lifecycle;
   private final Clock clock;
 
+  /** Creates the server; {@link #listen} starts it. */
   public InvokeServer(
       Vertx vertx,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       InvocationRegistry invocations,
       Counters counters,
       SettingNames names,
-      Lifecycle duty,
+      Lifecycle lifecycle,
       Clock clock,
-      ConnectionLimits account) {
+      ConnectionLimits connectionLimits) {
     this.vertx = vertx;
-    this.duty = duty;
+    this.lifecycle = lifecycle;
     this.clock = clock;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.invocations = invocations;
     this.counters = counters;
     this.names = names;
-    this.account = account;
+    this.connectionLimits = connectionLimits;
     this.server =
         vertx.createHttpServer(
             new HttpServerOptions()
                 .setTcpNoDelay(true)
                 .setReuseAddress(true)
                 .setReusePort(true)
-                .setIdleTimeout(IDLE_SECONDS)
+                .setIdleTimeout(IDLE_TIMEOUT_SECONDS)
                 .setHandle100ContinueAutomatically(true)
                 .setHttp2ClearTextEnabled(false));
     server.connectionHandler(
-        c -> {
-          if (!account.tryAcquire(Purpose.INVOKE)
-              && !(makeRoom()
-                  && account.tryAcquire(Purpose.INVOKE))) { // guards what the rest needs
-            c.close();
+        connection -> {
+          // The descriptors beyond the limit are needed by the other parts of the process.
+          if (!connectionLimits.tryAcquire(Purpose.INVOKE)
+              && !(displaceOldestSilent() && connectionLimits.tryAcquire(Purpose.INVOKE))) {
+            connection.close();
             return;
           }
-          all.add(c);
+          connections.add(connection);
           silent.put(
-              c,
-              vertx.setTimer(
-                  WHOLE_MILLIS, t -> c.close())); // guards against clients that say nothing
-          c.closeHandler(
+              connection, vertx.setTimer(REQUEST_TIMEOUT_MILLIS, timer -> connection.close()));
+          connection.closeHandler(
               v -> {
-                forget(c);
-                spoke(c);
+                remove(connection);
+                cancelTimeout(connection);
               });
         });
     server.invalidRequestHandler(
-        r -> new Problem(400, "not a readable request").write(r.response()));
+        request -> new Problem(400, "not a readable request").write(request.response()));
     server.requestHandler(this::handle);
   }
 
+  /** Starts to listen; completes with the port in use. */
   public Future<Integer> listen(SocketAddress address) {
     return server.listen(address).map(HttpServer::actualPort);
   }
 
-  /** Lets go of all connections as soon as nothing is open on them, where that is due. */
+  /** During a drain, closes each connection as soon as no request is open on it. */
   public void closeIdleConnections() {
-    if (duty.closesIdleConnections(clock.now())) {
-      List.copyOf(all).forEach(c -> c.shutdown(MOST_POLL_MILLIS, TimeUnit.MILLISECONDS));
+    if (lifecycle.closesIdleConnections(clock.now())) {
+      List.copyOf(connections)
+          .forEach(connection -> connection.shutdown(MAX_POLL_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 
-  /** Ends all connections, each once what is asked on it has come whole and its answer has left. */
+  /** Closes each connection once its current request is complete and answered. */
   public Future<Void> closeConnections() {
-    return server.shutdown(WHOLE_MILLIS, TimeUnit.MILLISECONDS);
+    return server.shutdown(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   /**
-   * The one that has been silent for longest returns its place at once; the system may take longer
-   * to be done with it.
+   * Closes the connection that has been without a request for longest; false if there is none. It
+   * stops counting at once, although the system may take longer to close it.
    */
-  private boolean makeRoom() {
+  private boolean displaceOldestSilent() {
     if (silent.isEmpty()) {
       return false;
     }
-    HttpConnection c = silent.keySet().iterator().next();
-    forget(c);
-    c.close();
+    HttpConnection oldest = silent.keySet().iterator().next();
+    remove(oldest);
+    oldest.close();
     return true;
   }
 
-  private void forget(HttpConnection c) {
-    spoke(c);
-    if (all.remove(c)) {
-      account.release(Purpose.INVOKE);
+  private void remove(HttpConnection connection) {
+    cancelTimeout(connection);
+    if (connections.remove(connection)) {
+      connectionLimits.release(Purpose.INVOKE);
     }
   }
 
-  /** Whoever has sent the head of a request is no longer taken for silent. */
-  private void spoke(HttpConnection c) {
-    Long timer = silent.remove(c);
+  /** Called when a connection has received a request header, or is closed. */
+  private void cancelTimeout(HttpConnection connection) {
+    Long timer = silent.remove(connection);
     if (timer != null) {
       vertx.cancelTimer(timer);
     }
   }
 
   private void handle(HttpServerRequest request) {
-    spoke(request.connection());
+    cancelTimeout(request.connection());
     try {
       route(request);
     } catch (Problem e) {
@@ -177,20 +183,23 @@
 
   private void route(HttpServerRequest request) throws Problem {
     String path = request.path() == null ? "" : request.path();
-    Matcher invoke = INVOKE.matcher(path);
-    Matcher collect = COLLECT.matcher(path);
+    Matcher invoke = INVOKE_PATH.matcher(path);
+    Matcher invocation = INVOCATION_PATH.matcher(path);
     if (invoke.matches()) {
-      allow(request, HttpMethod.POST);
-      invoke(request, invoke.group(1));
-    } else if (collect.matches()) {
-      allow(request, HttpMethod.GET, HttpMethod.DELETE);
-      collect(request, collect.group(1));
+      requireMethod(request, HttpMethod.POST);
+      invokeFunction(request, invoke.group(1));
+    } else if (invocation.matches()) {
+      requireMethod(request, HttpMethod.GET, HttpMethod.DELETE);
+      collectResult(request, invocation.group(1));
     } else if (path.equals("/v1/health")) {
-      allow(request, HttpMethod.GET);
-      boolean fit = duty.isHealthy();
-      request.response().setStatusCode(fit ? 200 : 503).end(fit ? "passing\n" : "leaving\n");
+      requireMethod(request, HttpMethod.GET);
+      boolean healthy = lifecycle.isHealthy();
+      request
+          .response()
+          .setStatusCode(healthy ? 200 : 503)
+          .end(healthy ? "passing\n" : "leaving\n");
     } else if (path.equals("/v1/counters")) {
-      allow(request, HttpMethod.GET);
+      requireMethod(request, HttpMethod.GET);
       request
           .response()
           .putHeader("Content-Type", "application/json")
@@ -200,52 +209,53 @@
     }
   }
 
-  private static void allow(HttpServerRequest request, HttpMethod... methods) throws Problem {
-    for (HttpMethod m : methods) {
-      if (m.equals(request.method())) {
+  /** Throws a 405 problem unless the request has one of the methods. */
+  private static void requireMethod(HttpServerRequest request, HttpMethod... methods)
+      throws Problem {
+    for (HttpMethod method : methods) {
+      if (method.equals(request.method())) {
         return;
       }
     }
     StringBuilder allowed = new StringBuilder();
-    for (HttpMethod m : methods) {
-      allowed.append(allowed.length() == 0 ? "" : ", ").append(m.name());
+    for (HttpMethod method : methods) {
+      allowed.append(allowed.length() == 0 ? "" : ", ").append(method.name());
     }
     request.response().putHeader("Allow", allowed);
     throw new Problem(405, "the method is not allowed here");
   }
 
-  // ---------------------------------------------------------------- calls
-
-  private void invoke(HttpServerRequest request, String function) throws Problem {
+  /** Reads the body of a call within its limits of time and length, then submits the call. */
+  private void invokeFunction(HttpServerRequest request, String function) throws Problem {
     Buffer body = Buffer.buffer();
-    boolean[] refused = {false};
-    long whole =
+    boolean[] rejected = {false};
+    long bodyTimer =
         vertx.setTimer(
-            WHOLE_MILLIS,
-            t -> { // guards against a body that stops midway
-              refused[0] = true;
+            REQUEST_TIMEOUT_MILLIS,
+            timer -> {
+              // The body stopped arriving before its end.
+              rejected[0] = true;
               counters.add(Count.BAD_REQUESTS);
-              closeConnections(request, new Problem(408, "the request did not come whole in time"));
+              rejectIncomplete(request, new Problem(408, "the request did not come whole in time"));
             });
     request.handler(
-        piece -> {
-          if (!refused[0]
-              && body.length() + piece.length() > CallFields.MAX_BODY_BYTES) { // guards the memory
-            refused[0] = true;
+        chunk -> {
+          if (!rejected[0] && body.length() + chunk.length() > CallFields.MAX_BODY_BYTES) {
+            rejected[0] = true;
             counters.add(Count.BAD_REQUESTS);
-            vertx.cancelTimer(whole);
-            closeConnections(
+            vertx.cancelTimer(bodyTimer);
+            rejectIncomplete(
                 request,
                 new Problem(
                     413, "the body is longer than " + CallFields.MAX_BODY_BYTES + " bytes"));
-          } else if (!refused[0]) {
-            body.appendBuffer(piece);
+          } else if (!rejected[0]) {
+            body.appendBuffer(chunk);
           }
         });
     request.endHandler(
         v -> {
-          vertx.cancelTimer(whole);
-          if (!refused[0]) {
+          vertx.cancelTimer(bodyTimer);
+          if (!rejected[0]) {
             try {
               submit(request, function, body);
             } catch (Problem e) {
@@ -255,38 +265,42 @@
           }
         });
     request.exceptionHandler(
-        e -> { // the client went before its call was whole
-          vertx.cancelTimer(whole);
-          refused[0] = true;
+        e -> {
+          // The client disconnected before its request was complete.
+          vertx.cancelTimer(bodyTimer);
+          rejected[0] = true;
         });
   }
 
   /**
-   * Answers a request that is not read to its end. A close while it still comes would cost the
-   * client the answer.
+   * Answers a request that was not read to its end. The connection is closed with a delay: closing
+   * it while data still arrives would reset it, and the client would lose the answer.
    */
-  private void closeConnections(HttpServerRequest request, Problem problem) {
+  private void rejectIncomplete(HttpServerRequest request, Problem problem) {
     request.pause();
     request.response().putHeader("Connection", "close");
     problem.write(request.response());
-    vertx.setTimer(LINGER_MILLIS, t -> request.connection().close());
+    vertx.setTimer(LINGER_MILLIS, timer -> request.connection().close());
   }
 
   private void submit(HttpServerRequest request, String function, Buffer body) throws Problem {
     PreferHeader preferences = PreferHeader.of(request.headers());
     try {
-      Request call = call(request, function, body, preferences);
-      if (!duty.acceptsCalls(clock.now())) {
+      Request call = toCall(request, function, body, preferences);
+      if (!lifecycle.acceptsCalls(clock.now())) {
         throw new Problem(
-            503, "this front end is leaving; not run, trying again does no harm", LEAVING_MILLIS);
+            503,
+            "this front end is leaving; not run, trying again does no harm",
+            SHUTDOWN_RETRY_MILLIS);
       }
-      Invocation i = invocations.submit(call, Integer.toString(call.tenant()), preferences.async());
+      Invocation invocation =
+          invocations.submit(call, Integer.toString(call.tenant()), preferences.async());
       if (!preferences.async()) {
-        await(request, i, 0, null);
-      } else if (i.result() instanceof Result.Refused r && r.overloaded()) {
-        answer(request.response(), r);
+        await(request, invocation, 0, null);
+      } else if (invocation.result() instanceof Result.Refused refused && refused.overloaded()) {
+        answer(request.response(), refused);
       } else {
-        poll(request, i, preferences.waitMillis());
+        poll(request, invocation, preferences.waitMillis());
       }
     } catch (InvalidField e) {
       throw new Problem(400, e.getMessage());
@@ -296,10 +310,10 @@
   }
 
   /**
-   * Reads a call. The documented headers are {@code Invoke-Class}, {@code Invoke-Tenant}, {@code
-   * Invoke-Figures}.
+   * Converts a request into a call. The class, tenant and resource hints come from the headers
+   * {@code Invoke-Class}, {@code Invoke-Tenant} and {@code Invoke-Figures}.
    */
-  private Request call(
+  private Request toCall(
       HttpServerRequest request, String function, Buffer body, PreferHeader preferences)
       throws InvalidField {
     int callClass = names.classes().indexOf(header(request, "Invoke-Class"));
@@ -310,71 +324,79 @@
     if (tenant < 0 && !names.tenants().isEmpty()) {
       throw new InvalidField("Invoke-Tenant must name a tenant");
     }
-    long number = CallFields.hex("the function", function);
+    long functionId = CallFields.hex("the function", function);
     Buffer key = CallFields.key(unquoted(request.getHeader("Idempotency-Key")));
-    CallFields.requireKey(owner.settings(), callClass, key);
-    CallClass kind = owner.settings().classes().get(callClass);
-    long wait = preferences.waitMillis() * 1_000;
-    long patience =
-        preferences.async() || wait < 0 ? kind.timeout() : Math.min(wait, kind.timeout());
+    CallFields.requireKey(dispatchLoop.settings(), callClass, key);
+    CallClass settings = dispatchLoop.settings().classes().get(callClass);
+    long waitMicros = preferences.waitMillis() * 1_000;
+    long budgetMicros =
+        preferences.async() || waitMicros < 0
+            ? settings.timeout()
+            : Math.min(waitMicros, settings.timeout());
     return new Request(
         Buffer.buffer(String.format("%016x", random.nextLong())),
         callClass,
         Math.max(0, tenant),
         Buffer.buffer(function),
-        number,
+        functionId,
         key,
-        patience,
+        budgetMicros,
         false,
         CallFields.resourceHints(request.getHeader("Invoke-Figures")),
         body);
   }
 
+  /** The value of a header, or an empty string if it is absent. */
   private static String header(HttpServerRequest request, String name) {
     String value = request.getHeader(name);
     return value == null ? "" : value;
   }
 
-  /** The header is a structured string: its quotes are no part of the key. */
+  /**
+   * Strips the quotes of a key sent as a structured header string; they are not part of the key.
+   */
   private static String unquoted(String key) {
     boolean quoted = key != null && key.length() >= 2 && key.startsWith("\"") && key.endsWith("\"");
     return quoted ? key.substring(1, key.length() - 1) : key;
   }
 
-  // ---------------------------------------------------------------- answers
-
-  private void collect(HttpServerRequest request, String id) throws Problem {
-    Invocation i = invocations.get(id);
-    if (i == null) {
+  /** Answers a request for the result of a deferred call, or cancels the call on DELETE. */
+  private void collectResult(HttpServerRequest request, String id) throws Problem {
+    Invocation invocation = invocations.get(id);
+    if (invocation == null) {
       throw new Problem(404, "no such invocation, or its result is no longer kept");
     }
     if (request.method().equals(HttpMethod.DELETE)) {
-      invocations.cancel(i);
+      invocations.cancel(invocation);
       request.response().setStatusCode(204).end();
     } else {
-      poll(request, i, PreferHeader.of(request.headers()).waitMillis());
+      poll(request, invocation, PreferHeader.of(request.headers()).waitMillis());
     }
   }
 
-  /** Answers with the result if it comes within the wait, else with where it can be collected. */
-  private void poll(HttpServerRequest request, Invocation i, long waitMillis) {
-    boolean collects = request.method().equals(HttpMethod.GET);
-    if (waitMillis <= 0 && (i.result() == null || !collects)) {
-      accepted(request.response(), i);
+  /** Answers with the result if it is available within the wait, otherwise with its location. */
+  private void poll(HttpServerRequest request, Invocation invocation, long waitMillis) {
+    boolean collectsResult = request.method().equals(HttpMethod.GET);
+    if (waitMillis <= 0 && (invocation.result() == null || !collectsResult)) {
+      answerAccepted(request.response(), invocation);
     } else {
       await(
           request,
-          i,
-          Math.min(MOST_POLL_MILLIS, waitMillis),
-          () -> accepted(request.response(), i));
+          invocation,
+          Math.min(MAX_POLL_MILLIS, waitMillis),
+          () -> answerAccepted(request.response(), invocation));
     }
   }
 
   /**
-   * Answers with the result, or with {@code meanwhile} after so many milliseconds; 0 waits for the
-   * result.
+   * Answers with the result of an invocation once it is available.
+   *
+   * @param waitMillis after this time {@code onTimeout} answers instead; 0 waits for the result
+   *     without a limit
+   * @param onTimeout may be null if there is no limit
    */
-  private void await(HttpServerRequest request, Invocation i, long millis, Runnable meanwhile) {
+  private void await(
+      HttpServerRequest request, Invocation invocation, long waitMillis, Runnable onTimeout) {
     HttpServerResponse response = request.response();
     long[] timer = {-1};
     Consumer<Result> waiter =
@@ -382,52 +404,56 @@
           vertx.cancelTimer(timer[0]);
           answer(response, result);
         };
-    if (millis > 0 && i.result() == null) {
+    if (waitMillis > 0 && invocation.result() == null) {
       timer[0] =
           vertx.setTimer(
-              millis,
-              t -> {
-                i.removeWaiter(waiter);
-                meanwhile.run();
+              waitMillis,
+              expired -> {
+                invocation.removeWaiter(waiter);
+                onTimeout.run();
               });
     }
     response.closeHandler(
         v -> {
           if (!response.ended()) {
             vertx.cancelTimer(timer[0]);
-            invocations.stopWaiting(i, waiter);
+            invocations.stopWaiting(invocation, waiter);
           }
         });
-    i.await(waiter);
+    invocation.await(waiter);
   }
 
-  private static void accepted(HttpServerResponse response, Invocation i) {
+  /** Answers 202 with the location at which the result can be collected. */
+  private static void answerAccepted(HttpServerResponse response, Invocation invocation) {
     if (!response.closed() && !response.ended()) {
       response
           .setStatusCode(202)
-          .putHeader("Location", "/v1/invocations/" + i.id())
+          .putHeader("Location", "/v1/invocations/" + invocation.id())
           .putHeader("Retry-After", "1")
           .end();
     }
   }
 
+  /** Answers with a result, unless the client is gone or has been answered. */
   private static void answer(HttpServerResponse response, Result result) {
     if (response.closed() || response.ended()) {
       return;
     }
-    if (result instanceof Result.Served s) {
+    if (result instanceof Result.Served served) {
       response
           .setStatusCode(200)
           .putHeader("Content-Type", "application/octet-stream")
-          .end(s.body());
-    } else if (result instanceof Result.Refused r) {
+          .end(served.body());
+    } else if (result instanceof Result.Refused refused) {
       new Problem(
-              r.overloaded() ? 429 : 503, "not run; trying again does no harm", r.backoffMillis())
+              refused.overloaded() ? 429 : 503,
+              "not run; trying again does no harm",
+              refused.backoffMillis())
           .write(response);
-    } else if (result instanceof Result.Failed f) {
+    } else if (result instanceof Result.Failed failed) {
       new Problem(
-              f.timedOut() ? 504 : 502,
-              f.timedOut()
+              failed.timedOut() ? 504 : 502,
+              failed.timedOut()
                   ? "no answer in time; it may have run"
                   : "no worker served it; it may have run")
           .write(response);
--- a/src/main/java/umberrun/front/rpc/RpcConnection.java
+++ b/src/main/java/umberrun/front/rpc/RpcConnection.java
@@ -12,197 +12,205 @@
 import umberrun.front.CallFields.InvalidField;
 import umberrun.stats.Counters.Count;
 
-/** One client's connection: its open requests, and their answers in whatever order they come. */
+/** A client's connection with its open requests, which may be answered in any order. */
 final class RpcConnection {
-  private static final int MOST_OPEN = 32;
-  private static final int QUEUE_BYTES = 64 << 10;
-  private static final long CROWDED_BACKOFF_MILLIS = 100;
-  private static final long LEAVING_BACKOFF_MILLIS = 50;
+  private static final int MAX_OPEN_REQUESTS = 32;
+
+  /** While more bytes wait to be sent, nothing is read from the client. */
+  private static final int WRITE_QUEUE_BYTES = 64 << 10;
+
+  private static final long OVERLOAD_BACKOFF_MILLIS = 100;
+  private static final long SHUTDOWN_BACKOFF_MILLIS = 50;
 
   /**
-   * A message must be whole so long after its first byte, and the first one so long after
-   * connecting.
+   * A message must be complete within this time of its first byte, and the first message within
+   * this time of connecting.
    */
-  private static final long WHOLE_MILLIS = 2_000;
+  private static final long MESSAGE_TIMEOUT_MILLIS = 2_000;
 
   /** A connection without an open request is closed after this; clients close theirs after 4 s. */
-  private static final long IDLE_MILLIS = 5_000;
+  private static final long IDLE_TIMEOUT_MILLIS = 5_000;
 
-  /** One that is let go of is closed by its client, or here after this. */
+  /** After its output is shut down, a connection is closed by the client, or here after this. */
   private static final long LINGER_MILLIS = 1_000;
 
-  /** What a newcomer wants to say may still be on its way when clients are let go of. */
-  private static final long NEWCOMER_MICROS = 1_000_000;
+  /** During a drain, a new connection is kept open this long for a first message under way. */
+  private static final long FIRST_MESSAGE_MICROS = 1_000_000;
 
-  private final RpcServer front;
+  private final RpcServer server;
   private final NetSocket socket;
-  private final RpcDecoder decoder = new RpcDecoder(this::message);
-  private final Map<Long, Call> open = new HashMap<>();
+  private final RpcDecoder decoder = new RpcDecoder(this::handleMessage);
+  private final Map<Long, Call> openCalls = new HashMap<>();
   private final long openedAt;
-  private long lastCall;
-  private boolean greeted;
+  private long lastCallAt;
+
+  /** Whether a complete message has been received. */
+  private boolean hasSentMessage;
 
   /**
-   * Nothing more is read, as a message never came to its end; the calls that are open get their
-   * answers.
+   * Set when a message was not completed in time: nothing more is read, open calls are answered.
    */
-  private boolean deaf;
+  private boolean readingStopped;
+
+  /** Whether this side's output is being shut down or has been. */
+  private boolean outputShutDown;
 
-  private boolean leaving;
   private boolean closed;
 
   /**
-   * The wait for the rest of a message, or for the next one while no request is open; -1 while
-   * there is none.
+   * The timeout for the rest of a message, or for the next message while no request is open; -1 if
+   * none is running.
    */
   private long timer = -1;
 
+  /** Whether the timer waits for the rest of a message. */
   private boolean awaitsRest;
 
-  RpcConnection(RpcServer front, NetSocket socket) {
-    this.front = front;
+  RpcConnection(RpcServer server, NetSocket socket) {
+    this.server = server;
     this.socket = socket;
-    this.openedAt = front.now();
-    socket.setWriteQueueMaxSize(QUEUE_BYTES);
+    this.openedAt = server.now();
+    socket.setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
     socket.handler(this::read);
     socket.closeHandler(v -> close());
     socket.exceptionHandler(e -> close());
     socket.drainHandler(
         v -> {
           socket.resume();
-          watch();
+          restartTimeout();
         });
-    await(WHOLE_MILLIS, this::close);
+    await(MESSAGE_TIMEOUT_MILLIS, this::close);
   }
 
   /**
-   * Whether nothing is lost by closing it: no request is open on it, nor on its way as far as is
-   * read, nor an answer.
+   * Whether closing the connection loses nothing: no request is open or partly received, and no
+   * answer waits to be sent.
    */
   boolean isIdle() {
-    return open.isEmpty() && !decoder.isMidway() && !socket.writeQueueFull();
+    return openCalls.isEmpty() && !decoder.isMidMessage() && !socket.writeQueueFull();
   }
 
   /**
-   * Guards the descriptors against clients that say nothing, half of something, or hold on for
-   * good.
+   * Restarts the timeout that applies to the current state. Clients that send nothing, send half a
+   * message or never close would otherwise use up the file descriptors.
    */
-  private void watch() {
-    if (closed || leaving || deaf || decoder.isMidway() && awaitsRest) {
+  private void restartTimeout() {
+    if (closed || outputShutDown || readingStopped || decoder.isMidMessage() && awaitsRest) {
       return;
     }
-    front.heard(this);
-    stopWaiting();
-    awaitsRest = decoder.isMidway();
+    server.updateIdle(this);
+    cancelTimeout();
+    awaitsRest = decoder.isMidMessage();
     if (awaitsRest) {
-      await(WHOLE_MILLIS, this::stopReading);
-    } else if (open.isEmpty()) {
-      await(IDLE_MILLIS, this::close);
+      await(MESSAGE_TIMEOUT_MILLIS, this::stopReading);
+    } else if (openCalls.isEmpty()) {
+      await(IDLE_TIMEOUT_MILLIS, this::close);
     }
   }
 
-  private void await(long millis, Runnable then) {
+  private void await(long millis, Runnable action) {
     timer =
-        front
+        server
             .vertx()
             .setTimer(
                 millis,
-                t -> {
+                expired -> {
                   timer = -1;
-                  then.run();
+                  action.run();
                 });
   }
 
   /**
-   * The rest of a message does not come. What came whole before it was taken, and is owed its
-   * answers first.
+   * Called when the rest of a message does not arrive. The calls received before it are answered
+   * before the connection is closed.
    */
   private void stopReading() {
-    deaf = true;
-    endIfDone();
-    front.checkQuiet();
+    readingStopped = true;
+    shutDownIfAnswered();
+    server.checkQuiet();
   }
 
-  private void endIfDone() {
-    if (deaf && open.isEmpty()) {
-      letGo();
+  private void shutDownIfAnswered() {
+    if (readingStopped && openCalls.isEmpty()) {
+      shutDownOutput();
     }
   }
 
-  private void stopWaiting() {
+  private void cancelTimeout() {
     if (timer >= 0) {
-      front.vertx().cancelTimer(timer);
+      server.vertx().cancelTimer(timer);
       timer = -1;
     }
   }
 
-  private void read(Buffer piece) {
-    if (closed || leaving
-        || deaf) { // what crosses the end of a connection is sent again by its client
+  private void read(Buffer chunk) {
+    // A client sends again what arrives while its connection is being closed.
+    if (closed || outputShutDown || readingStopped) {
       return;
     }
     try {
-      decoder.feed(piece);
-    } catch (RpcDecoder.Unreadable e) { // guards the other connections: only this one ends
-      front.counters().add(Count.BAD_REQUESTS);
+      decoder.feed(chunk);
+    } catch (RpcDecoder.Unreadable e) {
+      // Malformed input ends this connection only.
+      server.counters().add(Count.BAD_REQUESTS);
       close();
     }
-    if (greeted) { // one that has not said a whole thing yet has the time since it connected, and
-      // no more
-      watch();
+    // Before the first complete message, the timeout since connecting keeps running.
+    if (hasSentMessage) {
+      restartTimeout();
     }
-    front.checkQuiet();
+    server.checkQuiet();
   }
 
-  /** Whether the rest of a message may still come. */
-  boolean isMidway() {
-    return !closed && !leaving && !deaf && decoder.isMidway();
+  /** Whether the rest of a message is still awaited. */
+  boolean isMidMessage() {
+    return !closed && !outputShutDown && !readingStopped && decoder.isMidMessage();
   }
 
-  private void message(RpcMessage message) {
-    if (closed || leaving) {
+  private void handleMessage(RpcMessage message) {
+    if (closed || outputShutDown) {
       return;
     }
-    greeted = true;
+    hasSentMessage = true;
     awaitsRest = false;
-    if (message instanceof RpcMessage.Request r) {
-      request(r);
-    } else if (message instanceof RpcMessage.Notification n && n.method().equals("revoke")) {
-      for (long id : n.ids()) {
-        Call call = open.remove(id);
-        if (call != null) { // one that is unknown or answered is ignored
-          front.owner().abandon(call);
+    if (message instanceof RpcMessage.Request request) {
+      handleRequest(request);
+    } else if (message instanceof RpcMessage.Notification notification
+        && notification.method().equals("revoke")) {
+      for (long id : notification.ids()) {
+        Call call = openCalls.remove(id);
+        // An id that is unknown or already answered is ignored.
+        if (call != null) {
+          server.dispatchLoop().abandon(call);
         }
       }
     }
   }
 
-  private void request(RpcMessage.Request r) {
-    if (open.containsKey(r.id())) { // guards against two answers under one id
-      front.counters().add(Count.BAD_REQUESTS);
+  private void handleRequest(RpcMessage.Request message) {
+    if (openCalls.containsKey(message.id())) {
+      // Two answers with one id could not be told apart.
+      server.counters().add(Count.BAD_REQUESTS);
       close();
-    } else if (r.method().equals("heartbeat")) {
-      write(RpcEncoder.heartbeat(r.id(), front.duty().isHealthy()));
-    } else if (!front.duty().acceptsCalls(front.now())) {
-      lastCall = front.now();
-      write(RpcEncoder.refused(r.id(), LEAVING_BACKOFF_MILLIS));
-    } else if (open.size() >= MOST_OPEN) {
-      write(RpcEncoder.refused(r.id(), CROWDED_BACKOFF_MILLIS));
+    } else if (message.method().equals("heartbeat")) {
+      write(RpcEncoder.heartbeat(message.id(), server.lifecycle().isHealthy()));
+    } else if (!server.lifecycle().acceptsCalls(server.now())) {
+      lastCallAt = server.now();
+      write(RpcEncoder.refused(message.id(), SHUTDOWN_BACKOFF_MILLIS));
+    } else if (openCalls.size() >= MAX_OPEN_REQUESTS) {
+      write(RpcEncoder.refused(message.id(), OVERLOAD_BACKOFF_MILLIS));
     } else {
       try {
-        Request request = front.request(r);
-        if (front
-            .owner()
-            .isInFlight(
-                request
-                    .requestId())) { // guards against two calls that workers could not tell apart
+        Request request = server.toRequest(message);
+        // Workers could not tell apart two calls with one request id.
+        if (server.dispatchLoop().isInFlight(request.requestId())) {
           throw new InvalidField("rid is that of a request in hand");
         }
-        lastCall = front.now();
-        open.put(r.id(), front.owner().submit(request, reply(r.id())));
+        lastCallAt = server.now();
+        openCalls.put(message.id(), server.dispatchLoop().submit(request, reply(message.id())));
       } catch (InvalidField e) {
-        front.counters().add(Count.BAD_REQUESTS);
-        write(RpcEncoder.failed(r.id(), "Invalid", e.getMessage()));
+        server.counters().add(Count.BAD_REQUESTS);
+        write(RpcEncoder.failed(message.id(), "Invalid", e.getMessage()));
       }
     }
   }
@@ -211,10 +219,10 @@
     return new Reply() {
       @Override
       public void served(Buffer body) {
-        if (front.hasRoomFor(body.length())) {
+        if (server.hasRoomFor(body.length())) {
           answer(id, RpcEncoder.served(id, body));
         } else {
-          front.counters().add(Count.ANSWERS_DROPPED);
+          server.counters().add(Count.ANSWERS_DROPPED);
           answer(id, RpcEncoder.failed(id, "Failed", "no room for its answer"));
         }
       }
@@ -225,28 +233,29 @@
       }
 
       @Override
-      public void failed(boolean overdue) {
-        answer(id, RpcEncoder.failed(id, "Failed", overdue ? "its time is up" : "not served"));
+      public void failed(boolean timedOut) {
+        answer(id, RpcEncoder.failed(id, "Failed", timedOut ? "its time is up" : "not served"));
       }
     };
   }
 
   private void answer(long id, Buffer message) {
-    if (open.remove(id) != null) { // guards against an answer after a revoke
+    // A revoked request gets no answer.
+    if (openCalls.remove(id) != null) {
       write(message);
-      watch();
-      endIfDone();
+      restartTimeout();
+      shutDownIfAnswered();
     }
   }
 
   /**
-   * Nothing more is read while the client does not take its answers, so that they can't pile up
-   * here.
+   * Sends a message. Reading pauses while the client does not receive its answers, so that they
+   * cannot accumulate here.
    */
   private void write(Buffer message) {
     if (!closed) {
-      front.queue(message.length());
-      socket.write(message).onComplete(v -> front.queue(-message.length()));
+      server.addQueuedBytes(message.length());
+      socket.write(message).onComplete(v -> server.addQueuedBytes(-message.length()));
       if (socket.writeQueueFull()) {
         socket.pause();
       }
@@ -254,40 +263,40 @@
   }
 
   /**
-   * Lets go of the client where that is due: nothing is open here, or it goes on for too long.
-   * Called by a timer alone: the loop reads what has come before it looks at timers, while a call
-   * may lie unread when an answer is written.
+   * Shuts down the connection during a drain if it is idle, or if it has been busy for too long;
+   * its open calls then fail. Must only be called from a timer: the event loop reads all received
+   * data before it runs timers, whereas a call may be unread at the time an answer is written.
    */
-  void letGoIfDue() {
-    long now = front.now();
-    if (closed || leaving) {
+  void shutDownIfDue() {
+    long now = server.now();
+    if (closed || outputShutDown) {
       return;
     }
-    if (front.duty().closesBusyConnection(now, lastCall)) {
-      front.counters().add(Count.BUSY_CLIENTS_CLOSED);
-      Map<Long, Call> ended = new HashMap<>(open);
-      open.clear();
-      ended.forEach(
+    if (server.lifecycle().closesBusyConnection(now, lastCallAt)) {
+      server.counters().add(Count.BUSY_CLIENTS_CLOSED);
+      Map<Long, Call> aborted = new HashMap<>(openCalls);
+      openCalls.clear();
+      aborted.forEach(
           (id, call) -> {
             write(RpcEncoder.failed(id, "Failed", "the front end is leaving"));
-            front.owner().abandon(call);
+            server.dispatchLoop().abandon(call);
           });
-      letGo();
-    } else if (front.duty().closesIdleConnections(now)
+      shutDownOutput();
+    } else if (server.lifecycle().closesIdleConnections(now)
         && isIdle()
-        && (greeted || now - openedAt > NEWCOMER_MICROS)) {
-      letGo();
+        && (hasSentMessage || now - openedAt > FIRST_MESSAGE_MICROS)) {
+      shutDownOutput();
     }
   }
 
   /**
-   * Ends this side only, once all answers are out: a close while the client still sends would reset
-   * the connection, and with it the answers that the client has not read yet.
+   * Shuts down the output of this side once all answers are sent. A full close while the client
+   * still sends would reset the connection, and the client would lose answers not yet read.
    */
-  private void letGo() {
-    leaving = true;
-    front.counters().add(Count.CLIENT_CONNECTIONS_SHUT_DOWN);
-    stopWaiting();
+  private void shutDownOutput() {
+    outputShutDown = true;
+    server.counters().add(Count.CLIENT_CONNECTIONS_SHUT_DOWN);
+    cancelTimeout();
     socket
         .write(Buffer.buffer())
         .onComplete(
@@ -295,20 +304,22 @@
               if (!closed) {
                 ((DuplexChannel) ((NetSocketInternal) socket).channelHandlerContext().channel())
                     .shutdownOutput();
-                socket.resume(); // so that the client's own end is seen
+                // Reading goes on in order to notice when the client closes its side.
+                socket.resume();
                 await(LINGER_MILLIS, this::close);
               }
             });
   }
 
+  /** Closes the connection and abandons its open calls. */
   void close() {
     if (!closed) {
       closed = true;
-      stopWaiting();
+      cancelTimeout();
       socket.close();
-      open.values().forEach(front.owner()::abandon);
-      open.clear();
-      front.closed(this);
+      openCalls.values().forEach(server.dispatchLoop()::abandon);
+      openCalls.clear();
+      server.remove(this);
     }
   }
 }
--- a/src/main/java/umberrun/front/rpc/RpcDecoder.java
+++ b/src/main/java/umberrun/front/rpc/RpcDecoder.java
@@ -17,18 +17,18 @@
 import umberrun.front.CallFields;
 
 /**
- * Cuts a client's stream into messages, whatever pieces it comes in. Holds one message's head and
- * body at most.
+ * Splits a client's byte stream into MessagePack-RPC messages, however it is fragmented. Buffers at
+ * most the header and body of one message.
  */
 final class RpcDecoder {
   private static final int REQUEST = 0;
   private static final int NOTIFICATION = 2;
-  private static final int MOST_HEAD = 16 << 10;
-  private static final int MOST_STRING = 4 << 10;
-  private static final int MOST_FIELDS = 64;
-  private static final int MOST_PARAMETERS = 64;
+  private static final int MAX_HEADER_BYTES = 16 << 10;
+  private static final int MAX_STRING_BYTES = 4 << 10;
+  private static final int MAX_FIELDS = 64;
+  private static final int MAX_PARAMETERS = 64;
 
-  /** A stream that can't be read any further. */
+  /** Thrown when the stream is malformed and cannot be read any further. */
   static final class Unreadable extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -38,64 +38,69 @@
   }
 
   private final Consumer<RpcMessage> messages;
-  private Buffer rest = Buffer.buffer();
 
-  /** Bytes without which another try to read is in vain. */
+  /** Received bytes of an incomplete message. */
+  private Buffer pending = Buffer.buffer();
+
+  /** Number of bytes needed before another attempt to read the pending message makes sense. */
   private int needed;
 
-  /** Bytes of a body that is too long, still to be passed over. */
-  private long skip;
+  /** Bytes of an oversized body that are still to be discarded. */
+  private long bytesToSkip;
 
+  /** Creates a decoder that passes each decoded message to a consumer. */
   RpcDecoder(Consumer<RpcMessage> messages) {
     this.messages = messages;
   }
 
-  /** Takes the next piece. */
-  void feed(Buffer piece) throws Unreadable {
-    if (skip > 0 && piece.length() <= skip) {
-      skip -= piece.length();
+  /** Processes the next bytes of the stream. */
+  void feed(Buffer chunk) throws Unreadable {
+    if (bytesToSkip > 0 && chunk.length() <= bytesToSkip) {
+      bytesToSkip -= chunk.length();
       return;
     }
-    byte[] all = (rest.length() == 0 ? piece : rest.appendBuffer(piece)).getBytes();
-    int at = (int) skip;
-    skip = 0;
-    while (at < all.length && all.length - at >= needed) {
-      int used = next(all, at);
+    byte[] bytes = (pending.length() == 0 ? chunk : pending.appendBuffer(chunk)).getBytes();
+    int position = (int) bytesToSkip;
+    bytesToSkip = 0;
+    while (position < bytes.length && bytes.length - position >= needed) {
+      int used = decodeMessage(bytes, position);
       if (used == 0) {
         break;
       }
-      at += used;
-      if (at > all.length) {
-        skip = at - all.length;
-        at = all.length;
+      position += used;
+      if (position > bytes.length) {
+        bytesToSkip = position - bytes.length;
+        position = bytes.length;
       }
     }
-    rest = Buffer.buffer(Arrays.copyOfRange(all, at, all.length));
-    if (rest.length()
-        > MOST_HEAD
-            + CallFields.MAX_BODY_BYTES) { // guards the memory against a head without an end
+    pending = Buffer.buffer(Arrays.copyOfRange(bytes, position, bytes.length));
+    // Bounds the memory for a message header without an end.
+    if (pending.length() > MAX_HEADER_BYTES + CallFields.MAX_BODY_BYTES) {
       throw new Unreadable("message too long");
     }
   }
 
-  /** Whether a message has begun whose end has not come. */
-  boolean isMidway() {
-    return skip > 0 || rest.length() > 0;
+  /** Whether part of a message has been received, but not all of it. */
+  boolean isMidMessage() {
+    return bytesToSkip > 0 || pending.length() > 0;
   }
 
   /**
-   * Reads the message at {@code at}; its length, which may lie beyond what is here, or 0 for one
-   * not whole.
+   * Decodes the message at a position.
+   *
+   * @return the length of the message, or 0 if it is incomplete; the length may exceed the received
+   *     bytes if the rest is to be discarded
    */
-  private int next(byte[] all, int at) throws Unreadable {
+  private int decodeMessage(byte[] bytes, int position) throws Unreadable {
     needed = 0;
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(all, at, all.length - at)) {
+    try (MessageUnpacker in =
+        MessagePack.newDefaultUnpacker(bytes, position, bytes.length - position)) {
       int size = in.unpackArrayHeader();
       int type = in.unpackInt();
       if (type == REQUEST && size == 4) {
-        return request(in, all.length - at);
+        return decodeRequest(in, bytes.length - position);
       } else if (type == NOTIFICATION && size == 3) {
-        messages.accept(notification(in));
+        messages.accept(decodeNotification(in));
         return (int) in.getTotalReadBytes();
       }
       throw new Unreadable("neither a request nor a notification");
@@ -106,17 +111,23 @@
     }
   }
 
-  private int request(MessageUnpacker in, int available) throws IOException, Unreadable {
+  /**
+   * Decodes a request after its type.
+   *
+   * @param available received bytes from the start of the message
+   * @return as {@link #decodeMessage}
+   */
+  private int decodeRequest(MessageUnpacker in, int available) throws IOException, Unreadable {
     long id = in.unpackLong();
-    String method = string(in);
+    String method = decodeString(in);
     if (in.getNextFormat().getValueType() != ValueType.ARRAY) {
       throw new Unreadable("parameters are no array");
     }
     int parameters = in.unpackArrayHeader();
-    if (parameters < 0 || parameters > MOST_PARAMETERS) {
+    if (parameters < 0 || parameters > MAX_PARAMETERS) {
       throw new Unreadable("too many parameters");
     }
-    Map<String, String> fields = parameters > 0 ? fields(in) : null;
+    Map<String, String> fields = parameters > 0 ? decodeFields(in) : null;
     Buffer body = Buffer.buffer();
     for (int i = 1; i < parameters; i++) {
       ValueType type = in.getNextFormat().getValueType();
@@ -126,20 +137,20 @@
         continue;
       }
       int length = type == ValueType.BINARY ? in.unpackBinaryHeader() : in.unpackRawStringHeader();
-      int from = (int) in.getTotalReadBytes();
+      int bodyStart = (int) in.getTotalReadBytes();
       if (length < 0) {
         throw new Unreadable("body too long");
       }
-      if (length
-          > CallFields.MAX_BODY_BYTES) { // answered at once, and passed over without being kept
-        if (parameters > 2 || length > Integer.MAX_VALUE - from) {
+      if (length > CallFields.MAX_BODY_BYTES) {
+        // The request is answered at once; its body is discarded without being buffered.
+        if (parameters > 2 || length > Integer.MAX_VALUE - bodyStart) {
           throw new Unreadable("body too long");
         }
         messages.accept(new RpcMessage.Request(id, method, fields, null));
-        return from + length;
+        return bodyStart + length;
       }
-      if (available - from < length) {
-        needed = from + length;
+      if (available - bodyStart < length) {
+        needed = bodyStart + length;
         return 0;
       }
       body = Buffer.buffer(in.readPayload(length));
@@ -148,11 +159,11 @@
     return (int) in.getTotalReadBytes();
   }
 
-  private static RpcMessage notification(MessageUnpacker in) throws IOException, Unreadable {
-    String method = string(in);
+  private static RpcMessage decodeNotification(MessageUnpacker in) throws IOException, Unreadable {
+    String method = decodeString(in);
     List<Long> ids = new ArrayList<>();
-    int n = in.unpackArrayHeader();
-    for (int i = 0; i < n; i++) {
+    int parameters = in.unpackArrayHeader();
+    for (int i = 0; i < parameters; i++) {
       if (in.getNextFormat().getValueType() == ValueType.INTEGER) {
         ids.add(in.unpackLong());
       } else {
@@ -163,26 +174,27 @@
   }
 
   /**
-   * A map of strings to strings; null where it is another thing. Values of other types are passed
-   * over.
+   * Decodes a map of strings to strings; null if the value is not a map. Entries with a key or
+   * value of another type are ignored.
    */
-  private static Map<String, String> fields(MessageUnpacker in) throws IOException, Unreadable {
+  private static Map<String, String> decodeFields(MessageUnpacker in)
+      throws IOException, Unreadable {
     if (in.getNextFormat().getValueType() != ValueType.MAP) {
       in.skipValue();
       return null;
     }
-    int n = in.unpackMapHeader();
-    if (n < 0 || n > MOST_FIELDS) {
+    int size = in.unpackMapHeader();
+    if (size < 0 || size > MAX_FIELDS) {
       throw new Unreadable("too many fields");
     }
     Map<String, String> fields = new HashMap<>();
-    for (int i = 0; i < n; i++) {
-      String name = in.getNextFormat().getValueType() == ValueType.STRING ? string(in) : null;
+    for (int i = 0; i < size; i++) {
+      String name = in.getNextFormat().getValueType() == ValueType.STRING ? decodeString(in) : null;
       if (name == null) {
         in.skipValue();
       }
       if (name != null && in.getNextFormat().getValueType() == ValueType.STRING) {
-        fields.put(name, string(in));
+        fields.put(name, decodeString(in));
       } else {
         in.skipValue();
       }
@@ -190,10 +202,13 @@
     return fields;
   }
 
-  /** Guards against a length that would be allocated before a byte of it has come. */
-  private static String string(MessageUnpacker in) throws IOException, Unreadable {
+  /**
+   * Decodes a string. Its length is limited before it is read, since the buffer is allocated before
+   * the bytes have arrived.
+   */
+  private static String decodeString(MessageUnpacker in) throws IOException, Unreadable {
     int length = in.unpackRawStringHeader();
-    if (length < 0 || length > MOST_STRING) {
+    if (length < 0 || length > MAX_STRING_BYTES) {
       throw new Unreadable("string too long");
     }
     return new String(in.readPayload(length), StandardCharsets.ISO_8859_1);
--- a/src/main/java/umberrun/front/rpc/RpcServer.java
+++ b/src/main/java/umberrun/front/rpc/RpcServer.java
@@ -26,127 +26,143 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * The platform's protocol, MessagePack-RPC over TCP: decodes a call, hands it on, encodes its one
- * answer.
+ * Serves the platform's protocol, MessagePack-RPC over TCP: decodes each call, submits it to the
+ * dispatch loop and encodes its answer.
  */
 public final class RpcServer {
-  private static final int BACKLOG = 1_024;
+  private static final int ACCEPT_BACKLOG = 1_024;
 
-  /** What the loop accepts in three turns; whoever writes at once has been read by then. */
-  private static final int MOST_SILENT = 48;
+  /**
+   * Connections without a complete message that are kept before one of them is displaced: as many
+   * as the event loop accepts in three iterations, by which time an immediate first message was
+   * read.
+   */
+  private static final int MAX_SILENT_CONNECTIONS = 48;
 
-  private static final double MOST_BUDGET_MILLIS = 600_000;
+  private static final double MAX_BUDGET_MILLIS = 600_000;
 
   private final Vertx vertx;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Counters counters;
   private final SettingNames names;
-  private final Lifecycle duty;
+  private final Lifecycle lifecycle;
   private final Clock clock;
-  private final ConnectionLimits account;
-  private final long mostQueued;
-  private long queued;
-  private final Set<RpcConnection> all = new LinkedHashSet<>();
+  private final ConnectionLimits connectionLimits;
+  private final long maxQueuedBytes;
+
+  /** Bytes of answers that wait to be sent to clients. */
+  private long queuedBytes;
 
-  /** Those that have not said a whole thing yet, in the order in which they came. */
+  private final Set<RpcConnection> connections = new LinkedHashSet<>();
+
+  /** Connections without a complete message yet, oldest first. */
   private final Set<RpcConnection> silent = new LinkedHashSet<>();
 
-  /** Those without an open request that have, the one that is idle for longest first. */
+  /** Connections with a message but no open request, the one idle for longest first. */
   private final Set<RpcConnection> idle = new LinkedHashSet<>();
 
   private Runnable whenEmpty;
   private Runnable whenQuiet;
 
+  /**
+   * Creates the server.
+   *
+   * @param maxQueuedBytes limit for answers that wait to be sent, for all processes of this front
+   *     end
+   */
   public RpcServer(
       Vertx vertx,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Counters counters,
       SettingNames names,
-      Lifecycle duty,
+      Lifecycle lifecycle,
       Clock clock,
-      ConnectionLimits account,
-      long mostQueued) {
-    this.mostQueued = mostQueued;
+      ConnectionLimits connectionLimits,
+      long maxQueuedBytes) {
+    this.maxQueuedBytes = maxQueuedBytes;
     this.vertx = vertx;
-    this.duty = duty;
+    this.lifecycle = lifecycle;
     this.clock = clock;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.counters = counters;
     this.names = names;
-    this.account = account;
+    this.connectionLimits = connectionLimits;
   }
 
-  private NetServer server() {
+  private NetServer createServer() {
     return vertx
         .createNetServer(
             new NetServerOptions()
                 .setTcpNoDelay(true)
-                .setAcceptBacklog(BACKLOG)
+                .setAcceptBacklog(ACCEPT_BACKLOG)
                 .setReuseAddress(true)
                 .setReusePort(true))
         .connectHandler(this::accept);
   }
 
-  /** Listens, beside other processes that do; the port that it got, where any would do. */
+  /**
+   * Starts to listen; other processes may listen at the same address. Completes with the port in
+   * use, which the system chose if the address has port 0.
+   */
   public Future<Integer> listen(SocketAddress address) {
-    return server().listen(address).map(NetServer::actualPort);
+    return createServer().listen(address).map(NetServer::actualPort);
   }
 
   /**
-   * Does something with a listener of its own, which is closed when that is over. The clients'
-   * address can't be used to rehearse: another process may listen there as well, and clients would
-   * come before this one is ready.
+   * Runs an action with a temporary listener and closes the listener afterwards. Warming up cannot
+   * use the clients' address: another process may listen there as well, and clients would connect
+   * before this process is ready.
    */
-  public <T> Future<T> withPrivateListener(String host, Function<SocketAddress, Future<T>> use) {
-    NetServer server = server();
+  public <T> Future<T> withPrivateListener(String host, Function<SocketAddress, Future<T>> action) {
+    NetServer server = createServer();
     return server
         .listen(0, host)
-        .compose(s -> use.apply(SocketAddress.inetSocketAddress(s.actualPort(), host)))
+        .compose(s -> action.apply(SocketAddress.inetSocketAddress(s.actualPort(), host)))
         .eventually(server::close);
   }
 
-  /** Looks at all connections while clients are let go of; to be called every now and then. */
+  /** Shuts down the connections for which that is due during a drain; called periodically. */
   public void closeIdleConnections() {
-    List.copyOf(all).forEach(RpcConnection::letGoIfDue);
+    List.copyOf(connections).forEach(RpcConnection::shutDownIfDue);
   }
 
-  /** Runs {@code action} once no connection is left: at once, or when the last one is closed. */
+  /** Runs an action once there are no connections: immediately, or when the last one closes. */
   public void whenEmpty(Runnable action) {
     whenEmpty = action;
-    if (all.isEmpty()) {
+    if (connections.isEmpty()) {
       action.run();
     }
   }
 
   /**
-   * Whether an answer of so many bytes may wait for its client; guards the memory against those
-   * that read slowly.
+   * Whether an answer of so many bytes may be queued; bounds the memory used for clients that read
+   * slowly. All processes of this front end share the limit.
    */
   boolean hasRoomFor(int bytes) {
-    return queued + bytes
-        <= mostQueued / account.processes(); // the memory is for all processes of this front end
+    return queuedBytes + bytes <= maxQueuedBytes / connectionLimits.processes();
   }
 
-  /** So many more bytes wait for clients, or fewer. */
-  void queue(int bytes) {
-    queued += bytes;
+  /** Changes the number of queued bytes; negative when bytes were sent. */
+  void addQueuedBytes(int bytes) {
+    queuedBytes += bytes;
     checkQuiet();
   }
 
-  /** Whether no answer waits for its client, and no message for its rest. */
+  /** Whether no answer waits to be sent and no message is partly received. */
   public boolean isQuiet() {
-    return queued == 0 && all.stream().noneMatch(RpcConnection::isMidway);
+    return queuedBytes == 0 && connections.stream().noneMatch(RpcConnection::isMidMessage);
   }
 
   /**
-   * Runs {@code action} once it is quiet: at once, or when the last answer has left or the last
-   * message is whole or given up.
+   * Runs an action once {@link #isQuiet} holds: immediately, or when the last answer is sent or the
+   * last partial message is completed or abandoned.
    */
   public void whenQuiet(Runnable action) {
     whenQuiet = action;
     checkQuiet();
   }
 
+  /** Runs the action of {@link #whenQuiet} if it is due. */
   void checkQuiet() {
     if (whenQuiet != null && isQuiet()) {
       Runnable action = whenQuiet;
@@ -155,8 +171,8 @@
     }
   }
 
-  Lifecycle duty() {
-    return duty;
+  Lifecycle lifecycle() {
+    return lifecycle;
   }
 
   long now() {
@@ -167,8 +183,8 @@
     return vertx;
   }
 
-  DispatchLoop owner() {
-    return owner;
+  DispatchLoop dispatchLoop() {
+    return dispatchLoop;
   }
 
   Counters counters() {
@@ -176,20 +192,21 @@
   }
 
   private void accept(NetSocket socket) {
-    if (account.tryAcquire(Purpose.CLIENTS)) {
+    if (connectionLimits.tryAcquire(Purpose.CLIENTS)) {
       admit(socket);
       return;
     }
-    // Once all has been read that came with it: guards a request that lies unread on the connection
-    // that would be closed.
+    // Decide only after the data that arrived together with this connection is read: the connection
+    // that would be displaced may have an unread request.
     socket.pause();
     vertx.runOnContext(
         v -> {
-          if (account.tryAcquire(Purpose.CLIENTS)
-              || makeRoom() && account.tryAcquire(Purpose.CLIENTS)) {
+          if (connectionLimits.tryAcquire(Purpose.CLIENTS)
+              || displaceConnection() && connectionLimits.tryAcquire(Purpose.CLIENTS)) {
             admit(socket);
             socket.resume();
-          } else { // guards the descriptors that the workers' links need
+          } else {
+            // The remaining descriptors are needed for connections to workers.
             socket.close();
           }
         });
@@ -197,28 +214,34 @@
 
   private void admit(NetSocket socket) {
     counters.add(Count.CLIENT_CONNECTIONS);
-    RpcConnection c = new RpcConnection(this, socket);
-    all.add(c);
-    silent.add(c);
+    RpcConnection connection = new RpcConnection(this, socket);
+    connections.add(connection);
+    silent.add(connection);
   }
 
   /**
-   * Closes the connection that will be missed least: where many have said nothing, the first of
-   * these (not any of them: nothing of the newest has been read yet), or else the one that has been
-   * idle for longest, as it is least likely to have a request on its way.
+   * Closes one connection to admit another. If many have sent no message, it is the oldest of
+   * those, as the newest may not have been read yet; otherwise the one idle for longest, as it is
+   * least likely to have a request under way.
+   *
+   * @return false if there is no connection that may be closed
    */
-  private boolean makeRoom() {
-    Set<RpcConnection> from = silent.size() > MOST_SILENT || idle.isEmpty() ? silent : idle;
-    if (from.isEmpty()) {
+  private boolean displaceConnection() {
+    Set<RpcConnection> candidates =
+        silent.size() > MAX_SILENT_CONNECTIONS || idle.isEmpty() ? silent : idle;
+    if (candidates.isEmpty()) {
       return false;
     }
     counters.add(Count.CLIENTS_DISPLACED);
-    from.iterator().next().close();
+    candidates.iterator().next().close();
     return true;
   }
 
-  /** Something whole was read from it, or its last open request was answered. */
-  void heard(RpcConnection connection) {
+  /**
+   * Updates whether a connection counts as idle, after it sent a complete message or a request of
+   * it was answered.
+   */
+  void updateIdle(RpcConnection connection) {
     silent.remove(connection);
     idle.remove(connection);
     if (connection.isIdle()) {
@@ -226,19 +249,21 @@
     }
   }
 
-  void closed(RpcConnection connection) {
-    all.remove(connection);
-    account.release(Purpose.CLIENTS);
+  /** Called when a connection is closed. */
+  void remove(RpcConnection connection) {
+    connections.remove(connection);
+    connectionLimits.release(Purpose.CLIENTS);
     silent.remove(connection);
     idle.remove(connection);
-    if (all.isEmpty() && whenEmpty != null) {
+    if (connections.isEmpty() && whenEmpty != null) {
       whenEmpty.run();
     }
     checkQuiet();
   }
 
   /**
-   * A heartbeat that carries the fields of a call, as the decoder then has the same work with it.
+   * A request for warming up: a heartbeat that carries the fields of a call, so that decoding it
+   * runs the same code as a call.
    */
   public static Buffer warmUpRequest(long id) {
     return RpcEncoder.request(
@@ -258,57 +283,58 @@
         Buffer.buffer(new byte[100]));
   }
 
-  /** How long the answer to a heartbeat with a small id is. */
+  /** The length of the answer to a heartbeat with a small id. */
   public static int heartbeatAnswerBytes() {
     return RpcEncoder.heartbeat(1, false).length();
   }
 
-  /** The call in a request, of which the method is the class. */
-  Request request(RpcMessage.Request r) throws InvalidField {
-    Map<String, String> f = r.fields();
-    if (f == null) {
+  /** Converts a message into a call; its method is the name of the call class. */
+  Request toRequest(RpcMessage.Request message) throws InvalidField {
+    Map<String, String> fields = message.fields();
+    if (fields == null) {
       throw new InvalidField("parameters must be a map of strings to strings and a body");
     }
-    if (r.body() == null) {
+    if (message.body() == null) {
       throw new InvalidField("the body is longer than " + CallFields.MAX_BODY_BYTES + " bytes");
     }
-    int callClass = names.classes().indexOf(r.method());
+    int callClass = names.classes().indexOf(message.method());
     if (callClass < 0) {
       throw new InvalidField("unknown class");
     }
-    CallFields.hex("rid", f.get("rid"));
-    long function = CallFields.hex("obj", f.get("obj"));
-    Buffer key = CallFields.key(f.get("token"));
-    CallFields.requireKey(owner.settings(), callClass, key);
-    int tenant = names.tenants().indexOf(f.getOrDefault("acct", ""));
+    CallFields.hex("rid", fields.get("rid"));
+    long function = CallFields.hex("obj", fields.get("obj"));
+    Buffer key = CallFields.key(fields.get("token"));
+    CallFields.requireKey(dispatchLoop.settings(), callClass, key);
+    int tenant = names.tenants().indexOf(fields.getOrDefault("acct", ""));
     if (tenant < 0 && !names.tenants().isEmpty()) {
       throw new InvalidField("unknown tenant");
     }
     return new Request(
-        latin(f.get("rid")),
+        latin1(fields.get("rid")),
         callClass,
         Math.max(0, tenant),
-        latin(f.get("obj")),
+        latin1(fields.get("obj")),
         function,
         key,
-        budget(f.get("budget")),
-        "1".equals(f.get("again")),
-        CallFields.resourceHints(f.get("info")),
-        r.body());
+        parseBudget(fields.get("budget")),
+        "1".equals(fields.get("again")),
+        CallFields.resourceHints(fields.get("info")),
+        message.body());
   }
 
-  private static Buffer latin(String text) {
+  private static Buffer latin1(String text) {
     return Buffer.buffer(text, StandardCharsets.ISO_8859_1.name());
   }
 
-  private static long budget(String text) throws InvalidField {
+  /** Parses a time budget in milliseconds and converts it to microseconds. */
+  private static long parseBudget(String text) throws InvalidField {
     try {
       double millis = Double.parseDouble(text == null ? "" : text);
-      if (millis > 0 && millis <= MOST_BUDGET_MILLIS) {
+      if (millis > 0 && millis <= MAX_BUDGET_MILLIS) {
         return (long) (millis * 1_000);
       }
     } catch (NumberFormatException e) {
-      // said below
+      // reported below
     }
     throw new InvalidField("budget must be a number of milliseconds");
   }
