--- a/src/main/java/umberrun/config/Config.java
+++ b/src/main/java/umberrun/config/Config.java
@@ -20,19 +20,22 @@
 import umberrun.admission.ConnectionLimits;
 
 /**
- * All that a front end is told at its start: by the platform in {@code EDGE_*} variables and the
- * JSON file that one of them names, and by the operator in a file of ours.
+ * The complete configuration of a front end: the {@code EDGE_*} environment variables, the JSON
+ * configuration file that {@code EDGE_CONFIG} names, and the optional operator's file that {@code
+ * UMBERRUN_OPERATOR} names.
  *
- * @param name its name, the same after a restart
- * @param listen where clients of the platform's protocol connect
- * @param seed for random numbers, new with each start
- * @param sockets descriptors that the process may hold
- * @param memoryMb memory that it may use
- * @param changelog where the change log answers, or null where workers come from Consul alone
- * @param initialEvents the change log's events up to now
- * @param operatorAddress where operators call, or null where there is no door
- * @param operatorFile the operator's file, with the second front's settings, or null while all of
- *     it is off
+ * @param name name of this front end, stable across restarts
+ * @param listen address for clients of the MessagePack-RPC protocol
+ * @param seed seed of the random numbers, new with each start
+ * @param sockets number of file descriptors that the process may hold
+ * @param memoryMb memory that the process may use, in MiB
+ * @param changelog address of the change log, or null if the worker list comes from Consul only
+ * @param initialEvents the events of the change log up to the start of the process
+ * @param settings the settings of the dispatcher
+ * @param names the names that the settings define, and the connection settings
+ * @param operatorAddress address of the operators' HTTP API, or null if it is disabled
+ * @param operatorFile the operator's file, or null if there is none and all optional features are
+ *     disabled
  */
 public record Config(
     String name,
@@ -48,9 +51,17 @@
     OperatorFile operatorFile) {
 
   /**
-   * The names that the settings give to places, in order; the module knows positions only. With
-   * them what they say of connections: a limit that they lack is none, {@code idleCloseMillis} then
-   * 0; and for how long an order to load is waited for.
+   * The names that the settings define, in their order, as the dispatcher refers to them by
+   * position only, and the settings of worker connections.
+   *
+   * @param classes names of the call classes
+   * @param tenants names of the tenants
+   * @param zones names of the halls
+   * @param kinds names of the kinds of workers
+   * @param idleCloseMillis time after which an idle worker connection is closed, 0 for no limit
+   * @param streamsPerConnection maximum number of concurrent requests on a worker connection,
+   *     {@link Integer#MAX_VALUE} for no limit
+   * @param preloadTimeoutMillis how long the answer to a preload request is awaited
    */
   public record SettingNames(
       List<String> classes,
@@ -61,10 +72,13 @@
       int streamsPerConnection,
       long preloadTimeoutMillis) {}
 
-  /** A configuration that cannot be served; the message is one plain line. */
+  /** Thrown for a configuration that cannot be served. The message is a single line. */
   public static final class InvalidConfig extends Exception {
     private static final long serialVersionUID = 1;
 
+    /**
+     * @param message what is wrong, with the key; whitespace such as line breaks is collapsed
+     */
     public InvalidConfig(String message) {
       super(message.replaceAll("\\s+", " "));
     }
@@ -73,57 +87,64 @@
   private static final int DEFAULT_SOCKETS = 1024;
   private static final int DEFAULT_MEMORY_MB = 192;
 
-  /** Of the memory, what answers that clients have not taken yet may hold. */
-  private static final int ANSWERS_PART = 12;
+  /** Pending answers to slow clients may use one part in this many of the memory. */
+  private static final int ANSWER_MEMORY_DIVISOR = 12;
 
-  /** Reads the variables and the files that they name. */
+  /**
+   * Reads the configuration from the environment variables and the files that they name.
+   *
+   * @param env the environment variables
+   */
   public static Config read(Map<String, String> env) throws InvalidConfig {
     String path = env.get("EDGE_CONFIG");
     if (path == null || path.isEmpty()) {
-      throw new InvalidConfig("EDGE_CONFIG is not set: it names the configuration file");
+      throw new InvalidConfig("EDGE_CONFIG is not set; it must name the configuration file");
     }
     try {
-      JsonObject o = json(path);
-      String listen = env.getOrDefault("EDGE_LISTEN", text(o, "listen"));
-      String name = env.getOrDefault("EDGE_NAME", text(o, "name"));
-      JsonObject settings = object(o, "settings");
-      String fileName = env.get("UMBERRUN_OPERATOR");
-      String door = env.getOrDefault("EDGE_OPERATOR", text(o, "operator"));
-      String changelog = text(o, "changelog");
+      JsonObject root = json(path);
+      String listen = env.getOrDefault("EDGE_LISTEN", text(root, "listen"));
+      String name = env.getOrDefault("EDGE_NAME", text(root, "name"));
+      JsonObject settings = object(root, "settings");
+      String operatorPath = env.get("UMBERRUN_OPERATOR");
+      String operatorAddress = env.getOrDefault("EDGE_OPERATOR", text(root, "operator"));
+      String changelog = text(root, "changelog");
       SettingNames names = names(settings);
-      OperatorFile file =
-          fileName == null || fileName.isEmpty() ? null : OperatorFile.read(json(fileName));
-      if (changelog.isEmpty() && (file == null || !file.listsWorkers())) {
+      OperatorFile operatorFile =
+          operatorPath == null || operatorPath.isEmpty()
+              ? null
+              : OperatorFile.read(json(operatorPath));
+      if (changelog.isEmpty() && (operatorFile == null || !operatorFile.listsWorkers())) {
         throw new InvalidConfig(
-            "no source of workers: neither changelog nor consul.workers is set");
+            "no source of the worker list: neither changelog nor consul.workers is set");
       }
       Config config =
           new Config(
               name,
               address(listen, "listen"),
-              seed(text(o, "seed")),
-              (int) positive(object(o, "limits"), "sockets", DEFAULT_SOCKETS),
-              (int) positive(object(o, "limits"), "memory_mb", DEFAULT_MEMORY_MB),
+              seed(text(root, "seed")),
+              (int) positive(object(root, "limits"), "sockets", DEFAULT_SOCKETS),
+              (int) positive(object(root, "limits"), "memory_mb", DEFAULT_MEMORY_MB),
               changelog.isEmpty() ? null : address(changelog, "changelog"),
-              object(o, "known"),
+              object(root, "known"),
               SettingsJson.read(settings.toString()),
               names,
-              door.isEmpty() ? null : address(door, "operator"),
-              file);
+              operatorAddress.isEmpty() ? null : address(operatorAddress, "operator"),
+              operatorFile);
       config.connectionLimits();
-      if (file != null && file.leases() != null) {
-        file.leases().check(name);
+      if (operatorFile != null && operatorFile.leases() != null) {
+        operatorFile.leases().check(name);
       }
       return config;
     } catch (IllegalStateException
         | NumberFormatException
         | ClassCastException
-        | UnsupportedOperationException e) { // a field of another type than it should have
+        | UnsupportedOperationException e) {
+      // A field has the wrong type.
       throw new InvalidConfig(path + ": " + e.getMessage());
     }
   }
 
-  /** The account of all connections that the process may hold. */
+  /** Creates the limits of the connections that the process may hold. */
   public ConnectionLimits connectionLimits() throws InvalidConfig {
     try {
       return new ConnectionLimits(
@@ -141,9 +162,10 @@
   }
 
   /**
-   * Tells deployments apart, in hexadecimal: guards what a process leaves for its successor against
-   * another customer's settings under the same name. It covers all names and no figure, so that an
-   * upgrade may change those.
+   * Returns an identifier of the deployment, in hexadecimal. It keeps a process from using the
+   * handover files of a front end that has the same name but belongs to another deployment. It is
+   * derived from all names in the settings and from no number, so that an upgrade may change the
+   * numbers.
    */
   public String deployment() {
     CRC32 crc = new CRC32();
@@ -153,12 +175,16 @@
     return String.format("%08x", crc.getValue());
   }
 
-  /** How many bytes of answers may wait for clients that take them slowly, all together. */
+  /** Returns how many bytes of answers may be pending for slow clients, in total. */
   public long answerBytes() {
-    return ((long) memoryMb << 20) / ANSWERS_PART;
+    return ((long) memoryMb << 20) / ANSWER_MEMORY_DIVISOR;
   }
 
-  /** Reads an address of the form host:port. */
+  /**
+   * Parses an address of the form host:port.
+   *
+   * @param field the key of the address, for the error message
+   */
   static SocketAddress address(String text, String field) throws InvalidConfig {
     int colon = text.lastIndexOf(':');
     try {
@@ -167,57 +193,62 @@
         return SocketAddress.inetSocketAddress(port, text.substring(0, colon));
       }
     } catch (NumberFormatException e) {
-      // said below
+      // Reported below.
     }
     throw new InvalidConfig(field + " is not an address of the form host:port: '" + text + "'");
   }
 
   private static JsonObject json(String path) throws InvalidConfig {
     try {
-      if (JsonParser.parseString(Files.readString(Path.of(path))) instanceof JsonObject o) {
-        return o;
+      if (JsonParser.parseString(Files.readString(Path.of(path))) instanceof JsonObject object) {
+        return object;
       }
-      throw new InvalidConfig(path + " holds no JSON object");
+      throw new InvalidConfig(path + " does not contain a JSON object");
     } catch (IOException e) {
-      throw new InvalidConfig(path + " can't be read: " + e);
+      throw new InvalidConfig(path + " cannot be read: " + e);
     } catch (JsonParseException e) {
-      throw new InvalidConfig(path + " is not JSON: " + e.getMessage());
+      throw new InvalidConfig(path + " is not valid JSON: " + e.getMessage());
     }
   }
 
-  private static SettingNames names(JsonObject s) throws InvalidConfig {
-    JsonObject limits = object(s, "Limits");
+  private static SettingNames names(JsonObject settings) throws InvalidConfig {
+    JsonObject limits = object(settings, "Limits");
     SettingNames names =
         new SettingNames(
-            list(s, "Classes"),
-            list(s, "Tenants"),
-            list(s, "Zones"),
-            list(s, "Kinds"),
+            list(settings, "Classes"),
+            list(settings, "Tenants"),
+            list(settings, "Zones"),
+            list(settings, "Kinds"),
             positive(limits, "IdleClose", 0),
             (int)
                 Math.min(Integer.MAX_VALUE, positive(limits, "StreamsPerConn", Integer.MAX_VALUE)),
-            positive(object(s, "FamilyInfo"), "OrderLimit", longestGiveUp(s)));
+            positive(object(settings, "FamilyInfo"), "OrderLimit", longestTimeoutMillis(settings)));
     if (names.classes.isEmpty() || new HashSet<>(names.classes).size() < names.classes.size()) {
-      throw new InvalidConfig("settings.Classes must name at least one class, and each but once");
+      throw new InvalidConfig(
+          "settings.Classes must name at least one class, and each class only once");
     }
     return names;
   }
 
-  /** In milliseconds: what takes longer than the most patient client waits is of no use to any. */
-  private static long longestGiveUp(JsonObject s) {
+  /**
+   * Returns the longest timeout of a class, in milliseconds. A preload that takes longer than that
+   * is of no use to any client.
+   */
+  private static long longestTimeoutMillis(JsonObject settings) {
     long longest = 1;
-    if (s.get("Classes") instanceof JsonArray classes) {
-      for (JsonElement c : classes) {
-        longest = Math.max(longest, positive(c.getAsJsonObject(), "GiveUp", 1));
+    if (settings.get("Classes") instanceof JsonArray classes) {
+      for (JsonElement callClass : classes) {
+        longest = Math.max(longest, positive(callClass.getAsJsonObject(), "GiveUp", 1));
       }
     }
     return longest;
   }
 
-  private static List<String> list(JsonObject s, String key) {
+  /** Returns the names in an array of strings or of objects with the field {@code Name}. */
+  private static List<String> list(JsonObject settings, String key) {
     List<String> names = new ArrayList<>();
-    if (s.get(key) instanceof JsonArray a) {
-      for (JsonElement e : a) {
+    if (settings.get(key) instanceof JsonArray array) {
+      for (JsonElement e : array) {
         names.add(e instanceof JsonObject o ? text(o, "Name") : e.getAsString());
       }
     }
@@ -228,16 +259,19 @@
     return hex.isEmpty() ? System.nanoTime() : Long.parseUnsignedLong(hex, 16);
   }
 
-  private static long positive(JsonObject o, String key, long otherwise) {
+  /** Returns a number, or {@code defaultValue} if it is absent or not above 0. */
+  private static long positive(JsonObject o, String key, long defaultValue) {
     JsonElement e = o.get(key);
     long value = e == null || e.isJsonNull() ? 0 : Math.round(e.getAsDouble());
-    return value > 0 ? value : otherwise;
+    return value > 0 ? value : defaultValue;
   }
 
+  /** Returns an object, empty if it is absent. */
   private static JsonObject object(JsonObject o, String key) {
     return o.get(key) instanceof JsonObject x ? x : new JsonObject();
   }
 
+  /** Returns a string, empty if it is absent. */
   private static String text(JsonObject o, String key) {
     JsonElement e = o.get(key);
     return e == null || e.isJsonNull() ? "" : e.getAsString();
--- a/src/main/java/umberrun/config/FleetOptions.java
+++ b/src/main/java/umberrun/config/FleetOptions.java
@@ -11,14 +11,28 @@
 import umberrun.config.Config.InvalidConfig;
 
 /**
- * The section {@code fleet} of the operator's file, read only where it stands there.
+ * The optional section {@code fleet} of the operator's file: how this front end takes part in the
+ * fleet's membership protocol.
  *
- * @param listen where this one hears others of its fleet, by datagrams and connections
- * @param advertise what others are told of that, where they reach it by another address
- * @param via other ways to some addresses, as through a gateway
- * @param consul whether members are looked for among the instances of the own service
- * @param packetsPerSecond datagrams, each way, beyond which they are dropped
- * @param bytesPerSecond the same in bytes, full exchanges included
+ * @param name name of the fleet; members of other fleets are ignored
+ * @param listen address for datagrams and connections of other members
+ * @param advertise address under which other members reach this one, empty if it is {@code listen}
+ * @param join addresses of members to contact first
+ * @param via by the address of a member, another address to reach it by, for example a gateway
+ * @param consul whether other members are also looked up in Consul, as instances of the same
+ *     service
+ * @param release release of this front end, shown to the other members
+ * @param intervalMillis time between two probes of other members
+ * @param timeoutMillis how long the answer to a direct probe is awaited
+ * @param exchangeMillis time between two full exchanges of the membership state
+ * @param reconnectMillis time between two attempts to reach members that are not reachable
+ * @param sureMillis how long a member must have been dead before a refused connection proves that
+ *     it is gone
+ * @param forgetMillis how long a dead member is kept in the list
+ * @param settleMillis time within which a change reaches every member
+ * @param members maximum number of members
+ * @param packetsPerSecond limit of datagrams in each direction; datagrams above it are dropped
+ * @param bytesPerSecond limit of bytes in each direction, including full exchanges
  */
 public record FleetOptions(
     String name,
@@ -58,24 +72,26 @@
           "members",
           "packets_per_s",
           "bytes_per_s");
-  private static final int MOST_NAME = 64;
-  private static final int MOST_MEMBERS = 4_096;
+  private static final int MAX_NAME_LENGTH = 64;
+  private static final int MAX_MEMBERS = 4_096;
 
+  /** Parses and checks the section. */
   static FleetOptions read(JsonObject o) throws InvalidConfig {
     for (String key : o.keySet()) {
       if (!KEYS.contains(key)) {
-        throw new InvalidConfig("fleet." + key + " is not known");
+        throw new InvalidConfig("fleet." + key + " is not a known key");
       }
     }
     String name = text(o, "name");
-    if (name.isEmpty() || name.length() > MOST_NAME) {
+    if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
       throw new InvalidConfig(
           "fleet.name must be 1 to "
-              + MOST_NAME
-              + " characters: members of other fleets are not spoken with");
+              + MAX_NAME_LENGTH
+              + " characters; members of other fleets are ignored");
     }
     if (!o.has("listen")) {
-      throw new InvalidConfig("fleet needs fleet.listen: other members speak to it there");
+      throw new InvalidConfig(
+          "fleet needs fleet.listen: the address for other members of the fleet");
     }
     List<String> join = new ArrayList<>();
     if (o.has("join")) {
@@ -83,51 +99,54 @@
         throw new InvalidConfig("fleet.join must be a list of addresses");
       }
       for (JsonElement e : o.getAsJsonArray("join")) {
-        join.add(checked(e.getAsString(), "fleet.join"));
+        join.add(reachable(e.getAsString(), "fleet.join"));
       }
     }
     Map<String, String> via = new LinkedHashMap<>();
-    for (Map.Entry<String, JsonElement> e : OperatorFile.part(o, "via").entrySet()) {
-      via.put(checked(e.getKey(), "fleet.via"), checked(e.getValue().getAsString(), "fleet.via"));
+    for (Map.Entry<String, JsonElement> e : OperatorFile.section(o, "via").entrySet()) {
+      via.put(
+          reachable(e.getKey(), "fleet.via"), reachable(e.getValue().getAsString(), "fleet.via"));
     }
     FleetOptions options =
         new FleetOptions(
             name,
             Config.address(text(o, "listen"), "fleet.listen"),
-            o.has("advertise") ? checked(text(o, "advertise"), "fleet.advertise") : "",
+            o.has("advertise") ? reachable(text(o, "advertise"), "fleet.advertise") : "",
             List.copyOf(join),
             Map.copyOf(via),
             o.has("consul") && o.get("consul").getAsBoolean(),
             text(o, "release"),
-            figure(o, "interval_ms", 500),
-            figure(o, "timeout_ms", 200),
-            figure(o, "exchange_ms", 10_000),
-            figure(o, "reconnect_ms", 2_000),
-            figure(o, "sure_ms", 60_000),
-            figure(o, "forget_ms", 3_600_000),
-            figure(o, "settle_ms", 5_000),
-            (int) figure(o, "members", 1_024),
-            figure(o, "packets_per_s", 400),
-            figure(o, "bytes_per_s", 262_144));
+            positive(o, "interval_ms", 500),
+            positive(o, "timeout_ms", 200),
+            positive(o, "exchange_ms", 10_000),
+            positive(o, "reconnect_ms", 2_000),
+            positive(o, "sure_ms", 60_000),
+            positive(o, "forget_ms", 3_600_000),
+            positive(o, "settle_ms", 5_000),
+            (int) positive(o, "members", 1_024),
+            positive(o, "packets_per_s", 400),
+            positive(o, "bytes_per_s", 262_144));
     if (options.timeoutMillis > options.intervalMillis / 2) {
       throw new InvalidConfig(
-          "fleet.timeout_ms must be half of fleet.interval_ms at the most: others are asked in the rest");
+          "fleet.timeout_ms must be at most half of fleet.interval_ms, which leaves time for indirect probes");
     }
-    if (options.members > MOST_MEMBERS || options.release.length() > MOST_NAME) {
+    if (options.members > MAX_MEMBERS || options.release.length() > MAX_NAME_LENGTH) {
       throw new InvalidConfig(
-          "fleet.members must be "
-              + MOST_MEMBERS
-              + " and fleet.release "
-              + MOST_NAME
-              + " characters at the most");
+          "fleet.members must be at most "
+              + MAX_MEMBERS
+              + ", and fleet.release at most "
+              + MAX_NAME_LENGTH
+              + " characters");
     }
     return options;
   }
 
-  private static String checked(String address, String field) throws InvalidConfig {
-    SocketAddress a = Config.address(address, field);
-    if (a.port() == 0 || address.length() > MOST_NAME) {
-      throw new InvalidConfig(field + " names no port that others can reach: '" + address + "'");
+  /** Checks that an address has the form host:port and a port that others can connect to. */
+  private static String reachable(String address, String field) throws InvalidConfig {
+    SocketAddress parsed = Config.address(address, field);
+    if (parsed.port() == 0 || address.length() > MAX_NAME_LENGTH) {
+      throw new InvalidConfig(
+          field + " has no port that other members can reach: '" + address + "'");
     }
     return address;
   }
@@ -136,7 +155,7 @@
     return o.has(key) ? o.get(key).getAsString() : "";
   }
 
-  private static long figure(JsonObject o, String key, long otherwise) throws InvalidConfig {
-    return OperatorFile.figure(o, key, "fleet." + key, otherwise);
+  private static long positive(JsonObject o, String key, long defaultValue) throws InvalidConfig {
+    return OperatorFile.positive(o, key, "fleet." + key, defaultValue);
   }
 }
--- a/src/main/java/umberrun/config/LeaseOptions.java
+++ b/src/main/java/umberrun/config/LeaseOptions.java
@@ -10,17 +10,18 @@
 import umberrun.config.Config.InvalidConfig;
 
 /**
- * The section {@code leases} of the operator's file, read only where it stands there.
+ * The optional section {@code leases} of the operator's file: leases on duties, agreed by voters.
  *
- * @param voters the names that the first set is founded of, and that are asked who votes
- * @param stateDir the folder of this front end's vote, or empty where it has none
- * @param lengthMillis of a lease
- * @param rate by how much a clock may run fast or slow, as a part
- * @param pauseMillis added to the time that others wait before they take an expired duty
- * @param probeMillis between two probes of a worker by the holder of its hall's duty, 0 for no such
- *     duty
+ * @param voters names of the front ends that form the first set of voters, and that are asked which
+ *     front ends vote now
+ * @param stateDir directory of the voter's store, empty if this front end does not vote
+ * @param lengthMillis duration of a lease
+ * @param rate maximum drift of a clock, as a fraction of the elapsed time
+ * @param pauseMillis added to the time that others wait before they take over an expired lease
+ * @param probeMillis time between two probes of a worker by the front end that holds the duty of
+ *     its hall, 0 if there is no such duty
  * @param beacon where the holder of the duty {@code beacon} reports, or null
- * @param beaconMillis between two reports
+ * @param beaconMillis time between two reports
  */
 public record LeaseOptions(
     List<String> voters,
@@ -42,19 +43,25 @@
           "beacon",
           "beacon_ms");
 
-  /** A lease lasts for some tries of a proposer, and some round trips each. */
-  private static final int LEAST_ROUND_TRIPS = 5;
+  /** A lease has to last for several attempts of a proposer, each of several round trips. */
+  private static final int MIN_TIMEOUTS_PER_LEASE = 5;
 
-  private static final double MOST_RATE = 0.2;
-  private static final int LEAST_PROBE_MILLIS = 50;
+  private static final int MAX_NAME_LENGTH = 64;
+  private static final double MAX_DRIFT_RATE = 0.2;
+  private static final int MIN_PROBE_MILLIS = 50;
 
+  /**
+   * Parses and checks the section.
+   *
+   * @param fleet the section {@code fleet}, or null if it is absent
+   */
   static LeaseOptions read(JsonObject o, FleetOptions fleet) throws InvalidConfig {
     if (fleet == null) {
-      throw new InvalidConfig("leases need fleet: front ends agree over its listener");
+      throw new InvalidConfig("leases needs fleet: voters are reached at its address");
     }
     for (String key : o.keySet()) {
       if (!KEYS.contains(key)) {
-        throw new InvalidConfig("leases." + key + " is not known");
+        throw new InvalidConfig("leases." + key + " is not a known key");
       }
     }
     List<String> voters = new ArrayList<>();
@@ -66,47 +73,54 @@
     if (voters.size() != 3 && voters.size() != 5 || new HashSet<>(voters).size() != voters.size()) {
       throw new InvalidConfig("leases.voters must name 3 or 5 front ends, each once");
     }
-    for (String v : voters) {
-      if (v.isEmpty() || v.length() > 64 || !v.matches("[^#,\\s]+")) {
-        throw new InvalidConfig("leases.voters: '" + v + "' can't be the name of a voter");
+    for (String voter : voters) {
+      if (voter.isEmpty() || voter.length() > MAX_NAME_LENGTH || !voter.matches("[^#,\\s]+")) {
+        throw new InvalidConfig("leases.voters: '" + voter + "' is not a valid name of a voter");
       }
     }
     LeaseOptions options =
         new LeaseOptions(
             List.copyOf(voters),
             o.has("state_dir") ? o.get("state_dir").getAsString() : "",
-            figure(o, "length_ms", 3_000),
+            positive(o, "length_ms", 3_000),
             o.has("rate") ? o.get("rate").getAsDouble() : 0.01,
             o.has("pause_ms") ? o.get("pause_ms").getAsLong() : 0,
-            o.has("probe_ms") ? figure(o, "probe_ms", 0) : 0,
+            o.has("probe_ms") ? positive(o, "probe_ms", 0) : 0,
             o.has("beacon") ? Config.address(o.get("beacon").getAsString(), "leases.beacon") : null,
-            figure(o, "beacon_ms", 1_000));
-    if (options.lengthMillis < LEAST_ROUND_TRIPS * fleet.timeoutMillis()) {
+            positive(o, "beacon_ms", 1_000));
+    if (options.lengthMillis < MIN_TIMEOUTS_PER_LEASE * fleet.timeoutMillis()) {
       throw new InvalidConfig(
-          "leases.length_ms must be "
-              + LEAST_ROUND_TRIPS
-              + " times fleet.timeout_ms at the least: it is renewed by "
-              + "round trips");
+          "leases.length_ms must be at least "
+              + MIN_TIMEOUTS_PER_LEASE
+              + " times fleet.timeout_ms, as a renewal takes several round trips");
     }
-    if (!(options.rate >= 0 && options.rate <= MOST_RATE) || options.pauseMillis < 0) {
+    if (!(options.rate >= 0 && options.rate <= MAX_DRIFT_RATE) || options.pauseMillis < 0) {
       throw new InvalidConfig(
-          "leases.rate must be from 0 to " + MOST_RATE + ", and leases.pause_ms not below 0");
+          "leases.rate must be from 0 to "
+              + MAX_DRIFT_RATE
+              + ", and leases.pause_ms must not be negative");
     }
-    if (options.probeMillis > 0 && options.probeMillis < LEAST_PROBE_MILLIS) {
-      throw new InvalidConfig("leases.probe_ms must be " + LEAST_PROBE_MILLIS + " at the least");
+    if (options.probeMillis > 0 && options.probeMillis < MIN_PROBE_MILLIS) {
+      throw new InvalidConfig("leases.probe_ms must be at least " + MIN_PROBE_MILLIS);
     }
     return options;
   }
 
-  /** Checks what rests on this front end's own name. */
+  /**
+   * Checks what depends on the name of this front end.
+   *
+   * @param name name of this front end
+   */
   void check(String name) throws InvalidConfig {
     if (voters.contains(name) && stateDir.isEmpty()) {
       throw new InvalidConfig(
-          "leases.state_dir is needed: " + name + " votes, and what it promises must be on disk");
+          "leases.state_dir is missing: "
+              + name
+              + " is a voter and must store its promises on disk");
     }
   }
 
-  private static long figure(JsonObject o, String key, long otherwise) throws InvalidConfig {
-    return OperatorFile.figure(o, key, "leases." + key, otherwise);
+  private static long positive(JsonObject o, String key, long defaultValue) throws InvalidConfig {
+    return OperatorFile.positive(o, key, "leases." + key, defaultValue);
   }
 }
--- a/src/main/java/umberrun/config/OperatorFile.java
+++ b/src/main/java/umberrun/config/OperatorFile.java
@@ -10,8 +10,16 @@
 import umberrun.learning.net.FactClient;
 
 /**
- * The operator's own file: whether and where the invoke API listens, which Consul it works with,
- * whom to learn from, which fleet it is of, which duties there are.
+ * The operator's file, which enables the optional features. A feature whose section is absent is
+ * disabled.
+ *
+ * @param invoke address of the HTTP invoke API, or null if it is disabled
+ * @param deferred limits of asynchronous invocations
+ * @param consul the Consul agent to register with, or null if there is none
+ * @param learning the exchange of facts with other front ends, or null if it is disabled
+ * @param fleet the fleet membership, or null if it is disabled
+ * @param leases the leases on duties, or null if they are disabled
+ * @param works the maintenance plans, or null if they are disabled
  */
 public record OperatorFile(
     SocketAddress invoke,
@@ -23,59 +31,66 @@
     WorksOptions works) {
 
   /**
-   * The agent, the name that we register under, and the name whose instances are our workers (or
-   * empty).
+   * The section {@code consul}.
+   *
+   * @param agent address of the Consul agent
+   * @param service name of the service that this front end registers as
+   * @param workers name of the service whose instances are the workers, empty if the worker list
+   *     does not come from Consul
+   * @param waitMillis maximum duration of a blocking query
    */
   public record ConsulOptions(
       SocketAddress agent, String service, String workers, long waitMillis) {}
 
-  /** Whether the list of workers comes from Consul. */
+  /** Whether the worker list comes from Consul. */
   public boolean listsWorkers() {
     return consul != null && !consul.workers.isEmpty();
   }
 
+  /** Parses and checks the file. */
   static OperatorFile read(JsonObject o) throws InvalidConfig {
-    JsonObject invoke = part(o, "invoke");
-    JsonObject consul = part(o, "consul");
-    JsonObject deferred = part(o, "deferred");
+    JsonObject invoke = section(o, "invoke");
+    JsonObject consul = section(o, "consul");
+    JsonObject deferred = section(o, "deferred");
     if (consul.has("agent") && !invoke.has("listen")) {
       throw new InvalidConfig(
-          "consul needs invoke.listen: the check that is registered lies there");
+          "consul needs invoke.listen: the registered health check is served there");
     }
     FleetOptions fleet = fleet(o, consul);
-    LeaseOptions leases = o.has("leases") ? LeaseOptions.read(part(o, "leases"), fleet) : null;
+    LeaseOptions leases = o.has("leases") ? LeaseOptions.read(section(o, "leases"), fleet) : null;
     return new OperatorFile(
         invoke.has("listen")
             ? Config.address(invoke.get("listen").getAsString(), "invoke.listen")
             : null,
         new Limits(
-            (int) figure(deferred, "queue", 1_000),
-            (int) figure(deferred, "in_hand", 64),
-            (int) figure(deferred, "results", 4_096),
-            figure(deferred, "result_bytes", 8 << 20),
-            figure(deferred, "keep_ms", 60_000)),
+            (int) positive(deferred, "queue", 1_000),
+            (int) positive(deferred, "in_hand", 64),
+            (int) positive(deferred, "results", 4_096),
+            positive(deferred, "result_bytes", 8 << 20),
+            positive(deferred, "keep_ms", 60_000)),
         consul.has("agent")
             ? new ConsulOptions(
                 Config.address(consul.get("agent").getAsString(), "consul.agent"),
                 consul.has("service") ? consul.get("service").getAsString() : "umberrun",
                 consul.has("workers") ? consul.get("workers").getAsString() : "",
-                figure(consul, "wait_ms", 30_000))
+                positive(consul, "wait_ms", 30_000))
             : null,
-        learning(part(o, "learning")),
+        learning(section(o, "learning")),
         fleet,
         leases,
-        o.has("works") ? WorksOptions.read(part(o, "works"), leases) : null);
+        o.has("works") ? WorksOptions.read(section(o, "works"), leases) : null);
   }
 
   /**
-   * Null where it is off. Whoever asks others is to be asked too, so that there is somebody to ask.
+   * Parses the section {@code learning}; null if it is absent. The address to listen on is
+   * mandatory, so that every front end that fetches facts also serves them.
    */
   private static FactClient.Settings learning(JsonObject o) throws InvalidConfig {
     if (o.isEmpty()) {
       return null;
     }
     if (!o.has("listen")) {
-      throw new InvalidConfig("learning needs learning.listen: other instances ask there");
+      throw new InvalidConfig("learning needs learning.listen: the address for other front ends");
     }
     List<SocketAddress> peers = new ArrayList<>();
     if (o.has("peers")) {
@@ -89,41 +104,46 @@
     return new FactClient.Settings(
         Config.address(o.get("listen").getAsString(), "learning.listen"),
         List.copyOf(peers),
-        figure(o, "deadline_ms", 400),
-        (int) figure(o, "page_bytes", 65_536),
-        figure(o, "bytes_per_s", 524_288));
+        positive(o, "deadline_ms", 400),
+        (int) positive(o, "page_bytes", 65_536),
+        positive(o, "bytes_per_s", 524_288));
   }
 
-  /** Null where it is off. */
+  /** Parses the section {@code fleet}; null if it is absent. */
   private static FleetOptions fleet(JsonObject o, JsonObject consul) throws InvalidConfig {
     if (!o.has("fleet")) {
       return null;
     }
-    FleetOptions fleet = FleetOptions.read(part(o, "fleet"));
+    FleetOptions fleet = FleetOptions.read(section(o, "fleet"));
     if (fleet.consul() && !consul.has("agent")) {
       throw new InvalidConfig("fleet.consul needs consul.agent");
     }
     return fleet;
   }
 
-  static JsonObject part(JsonObject o, String key) throws InvalidConfig {
+  /** Returns a section of the file, empty if it is absent. */
+  static JsonObject section(JsonObject o, String key) throws InvalidConfig {
     if (o.has(key) && !o.get(key).isJsonObject()) {
-      throw new InvalidConfig(key + " in the operator's file is not an object");
+      throw new InvalidConfig(key + " in the operator's file is not a JSON object");
     }
     return o.has(key) ? o.getAsJsonObject(key) : new JsonObject();
   }
 
-  private static long figure(JsonObject o, String key, long otherwise) throws InvalidConfig {
-    return figure(o, key, key, otherwise);
+  private static long positive(JsonObject o, String key, long defaultValue) throws InvalidConfig {
+    return positive(o, key, key, defaultValue);
   }
 
   /**
-   * @param said how the key is named to the operator
+   * Returns a number that must be above 0.
+   *
+   * @param displayName name of the key in the error message
+   * @param defaultValue returned if the key is absent
    */
-  static long figure(JsonObject o, String key, String said, long otherwise) throws InvalidConfig {
-    long value = o.has(key) ? o.get(key).getAsLong() : otherwise;
+  static long positive(JsonObject o, String key, String displayName, long defaultValue)
+      throws InvalidConfig {
+    long value = o.has(key) ? o.get(key).getAsLong() : defaultValue;
     if (value <= 0) {
-      throw new InvalidConfig(said + " in the operator's file must be above 0");
+      throw new InvalidConfig(displayName + " in the operator's file must be above 0");
     }
     return value;
   }
--- a/src/test/java/umberrun/config/ConfigTest.java
+++ b/src/test/java/umberrun/config/ConfigTest.java
@@ -10,7 +10,7 @@
 import org.junit.rules.TemporaryFolder;
 import umberrun.config.Config.SettingNames;
 
-/** What a front end makes of settings that lack something. */
+/** Defaults for settings that are absent. */
 public class ConfigTest {
   @Rule public final TemporaryFolder folder = new TemporaryFolder();
 
@@ -24,21 +24,21 @@
     return Config.read(Map.of("EDGE_CONFIG", file.toString())).names();
   }
 
-  /** A limit that a deployment does not name is none, and no other deployment's. */
+  /** An absent limit must mean no limit, not the usual value of some other deployment. */
   @Test
   public void anAbsentLimitIsNoLimit() throws Exception {
-    SettingNames lacking =
+    SettingNames withoutLimits =
         names(
             "{\"Classes\":[{\"Name\":\"menu\",\"GiveUp\":3000},{\"Name\":\"order\",\"GiveUp\":7000}]}");
-    assertEquals(0, lacking.idleCloseMillis());
-    assertEquals(Integer.MAX_VALUE, lacking.streamsPerConnection());
-    assertEquals("as long as the most patient client waits", 7_000, lacking.preloadTimeoutMillis());
-    SettingNames named =
+    assertEquals(0, withoutLimits.idleCloseMillis());
+    assertEquals(Integer.MAX_VALUE, withoutLimits.streamsPerConnection());
+    assertEquals("the longest timeout of a class", 7_000, withoutLimits.preloadTimeoutMillis());
+    SettingNames withLimits =
         names(
             "{\"Classes\":[{\"Name\":\"menu\",\"GiveUp\":3000}],\"Limits\":{\"IdleClose\":900,\"StreamsPerConn\":7},"
                 + "\"FamilyInfo\":{\"OrderLimit\":80}}");
-    assertEquals(900, named.idleCloseMillis());
-    assertEquals(7, named.streamsPerConnection());
-    assertEquals(80, named.preloadTimeoutMillis());
+    assertEquals(900, withLimits.idleCloseMillis());
+    assertEquals(7, withLimits.streamsPerConnection());
+    assertEquals(80, withLimits.preloadTimeoutMillis());
   }
 }
