--- a/src/main/java/umberrun/FleetAssembly.java
+++ b/src/main/java/umberrun/FleetAssembly.java
@@ -137,7 +137,7 @@
 
   /**
    * Releases the leases as the process begins to shut down. If a successor process has taken over,
-   * it also gets the listener and the voter's store.
+   * also closes the listener and the voter's store, so that the successor can open them.
    *
    * @param hasSuccessor whether another process of this front end takes over
    */
--- a/src/main/java/umberrun/config/Config.java
+++ b/src/main/java/umberrun/config/Config.java
@@ -30,7 +30,7 @@
  * @param sockets number of file descriptors that the process may hold
  * @param memoryMb memory that the process may use, in MiB
  * @param changelog address of the change log, or null if the worker list comes from Consul only
- * @param initialEvents the events of the change log up to the start of the process
+ * @param initialEvents the events of the change log that are known at the start of the process
  * @param settings the settings of the dispatcher
  * @param names the names that the settings define, and the connection settings
  * @param operatorAddress address of the operators' HTTP API, or null if it is disabled
--- a/src/main/java/umberrun/config/FleetOptions.java
+++ b/src/main/java/umberrun/config/FleetOptions.java
@@ -28,9 +28,10 @@
  * @param reconnectMillis time between two attempts to reach members that are not reachable
  * @param sureMillis how long a member must have been dead before a refused connection proves that
  *     it is gone
- * @param forgetMillis how long a dead member is kept in the list
+ * @param forgetMillis how long a dead member is kept in the list; no network partition is expected
+ *     to last longer
  * @param settleMillis time within which a change reaches every member
- * @param members maximum number of members
+ * @param members maximum number of known members, including dead ones
  * @param packetsPerSecond limit of datagrams in each direction; datagrams above it are dropped
  * @param bytesPerSecond limit of bytes in each direction, including full exchanges
  */
@@ -76,56 +77,58 @@
   private static final int MAX_MEMBERS = 4_096;
 
   /** Parses and checks the section. */
-  static FleetOptions read(JsonObject o) throws InvalidConfig {
-    for (String key : o.keySet()) {
+  static FleetOptions read(JsonObject section) throws InvalidConfig {
+    for (String key : section.keySet()) {
       if (!KEYS.contains(key)) {
         throw new InvalidConfig("fleet." + key + " is not a known key");
       }
     }
-    String name = text(o, "name");
+    String name = text(section, "name");
     if (name.isEmpty() || name.length() > MAX_NAME_LENGTH) {
       throw new InvalidConfig(
           "fleet.name must be 1 to "
               + MAX_NAME_LENGTH
               + " characters; members of other fleets are ignored");
     }
-    if (!o.has("listen")) {
+    if (!section.has("listen")) {
       throw new InvalidConfig(
           "fleet needs fleet.listen: the address for other members of the fleet");
     }
     List<String> join = new ArrayList<>();
-    if (o.has("join")) {
-      if (!o.get("join").isJsonArray()) {
+    if (section.has("join")) {
+      if (!section.get("join").isJsonArray()) {
         throw new InvalidConfig("fleet.join must be a list of addresses");
       }
-      for (JsonElement e : o.getAsJsonArray("join")) {
+      for (JsonElement e : section.getAsJsonArray("join")) {
         join.add(reachable(e.getAsString(), "fleet.join"));
       }
     }
     Map<String, String> via = new LinkedHashMap<>();
-    for (Map.Entry<String, JsonElement> e : OperatorFile.section(o, "via").entrySet()) {
+    for (Map.Entry<String, JsonElement> e : OperatorFile.section(section, "via").entrySet()) {
       via.put(
           reachable(e.getKey(), "fleet.via"), reachable(e.getValue().getAsString(), "fleet.via"));
     }
     FleetOptions options =
         new FleetOptions(
             name,
-            Config.address(text(o, "listen"), "fleet.listen"),
-            o.has("advertise") ? reachable(text(o, "advertise"), "fleet.advertise") : "",
+            Config.address(text(section, "listen"), "fleet.listen"),
+            section.has("advertise")
+                ? reachable(text(section, "advertise"), "fleet.advertise")
+                : "",
             List.copyOf(join),
             Map.copyOf(via),
-            o.has("consul") && o.get("consul").getAsBoolean(),
-            text(o, "release"),
-            positive(o, "interval_ms", 500),
-            positive(o, "timeout_ms", 200),
-            positive(o, "exchange_ms", 10_000),
-            positive(o, "reconnect_ms", 2_000),
-            positive(o, "sure_ms", 60_000),
-            positive(o, "forget_ms", 3_600_000),
-            positive(o, "settle_ms", 5_000),
-            (int) positive(o, "members", 1_024),
-            positive(o, "packets_per_s", 400),
-            positive(o, "bytes_per_s", 262_144));
+            section.has("consul") && section.get("consul").getAsBoolean(),
+            text(section, "release"),
+            positive(section, "interval_ms", 500),
+            positive(section, "timeout_ms", 200),
+            positive(section, "exchange_ms", 10_000),
+            positive(section, "reconnect_ms", 2_000),
+            positive(section, "sure_ms", 60_000),
+            positive(section, "forget_ms", 3_600_000),
+            positive(section, "settle_ms", 5_000),
+            (int) positive(section, "members", 1_024),
+            positive(section, "packets_per_s", 400),
+            positive(section, "bytes_per_s", 262_144));
     if (options.timeoutMillis > options.intervalMillis / 2) {
       throw new InvalidConfig(
           "fleet.timeout_ms must be at most half of fleet.interval_ms, which leaves time for indirect probes");
@@ -151,11 +154,12 @@
     return address;
   }
 
-  private static String text(JsonObject o, String key) {
-    return o.has(key) ? o.get(key).getAsString() : "";
+  private static String text(JsonObject section, String key) {
+    return section.has(key) ? section.get(key).getAsString() : "";
   }
 
-  private static long positive(JsonObject o, String key, long defaultValue) throws InvalidConfig {
-    return OperatorFile.positive(o, key, "fleet." + key, defaultValue);
+  private static long positive(JsonObject section, String key, long defaultValue)
+      throws InvalidConfig {
+    return OperatorFile.positive(section, key, "fleet." + key, defaultValue);
   }
 }
--- a/src/main/java/umberrun/config/LeaseOptions.java
+++ b/src/main/java/umberrun/config/LeaseOptions.java
@@ -55,18 +55,18 @@
    *
    * @param fleet the section {@code fleet}, or null if it is absent
    */
-  static LeaseOptions read(JsonObject o, FleetOptions fleet) throws InvalidConfig {
+  static LeaseOptions read(JsonObject section, FleetOptions fleet) throws InvalidConfig {
     if (fleet == null) {
       throw new InvalidConfig("leases needs fleet: voters are reached at its address");
     }
-    for (String key : o.keySet()) {
+    for (String key : section.keySet()) {
       if (!KEYS.contains(key)) {
         throw new InvalidConfig("leases." + key + " is not a known key");
       }
     }
     List<String> voters = new ArrayList<>();
-    if (o.has("voters") && o.get("voters").isJsonArray()) {
-      for (JsonElement e : o.getAsJsonArray("voters")) {
+    if (section.has("voters") && section.get("voters").isJsonArray()) {
+      for (JsonElement e : section.getAsJsonArray("voters")) {
         voters.add(e.getAsString());
       }
     }
@@ -81,13 +81,15 @@
     LeaseOptions options =
         new LeaseOptions(
             List.copyOf(voters),
-            o.has("state_dir") ? o.get("state_dir").getAsString() : "",
-            positive(o, "length_ms", 3_000),
-            o.has("rate") ? o.get("rate").getAsDouble() : 0.01,
-            o.has("pause_ms") ? o.get("pause_ms").getAsLong() : 0,
-            o.has("probe_ms") ? positive(o, "probe_ms", 0) : 0,
-            o.has("beacon") ? Config.address(o.get("beacon").getAsString(), "leases.beacon") : null,
-            positive(o, "beacon_ms", 1_000));
+            section.has("state_dir") ? section.get("state_dir").getAsString() : "",
+            positive(section, "length_ms", 3_000),
+            section.has("rate") ? section.get("rate").getAsDouble() : 0.01,
+            section.has("pause_ms") ? section.get("pause_ms").getAsLong() : 0,
+            section.has("probe_ms") ? positive(section, "probe_ms", 0) : 0,
+            section.has("beacon")
+                ? Config.address(section.get("beacon").getAsString(), "leases.beacon")
+                : null,
+            positive(section, "beacon_ms", 1_000));
     if (options.lengthMillis < MIN_TIMEOUTS_PER_LEASE * fleet.timeoutMillis()) {
       throw new InvalidConfig(
           "leases.length_ms must be at least "
@@ -120,7 +122,8 @@
     }
   }
 
-  private static long positive(JsonObject o, String key, long defaultValue) throws InvalidConfig {
-    return OperatorFile.positive(o, key, "leases." + key, defaultValue);
+  private static long positive(JsonObject section, String key, long defaultValue)
+      throws InvalidConfig {
+    return OperatorFile.positive(section, key, "leases." + key, defaultValue);
   }
 }
--- a/src/main/java/umberrun/config/OperatorFile.java
+++ b/src/main/java/umberrun/config/OperatorFile.java
@@ -48,16 +48,17 @@
   }
 
   /** Parses and checks the file. */
-  static OperatorFile read(JsonObject o) throws InvalidConfig {
-    JsonObject invoke = section(o, "invoke");
-    JsonObject consul = section(o, "consul");
-    JsonObject deferred = section(o, "deferred");
+  static OperatorFile read(JsonObject root) throws InvalidConfig {
+    JsonObject invoke = section(root, "invoke");
+    JsonObject consul = section(root, "consul");
+    JsonObject deferred = section(root, "deferred");
     if (consul.has("agent") && !invoke.has("listen")) {
       throw new InvalidConfig(
           "consul needs invoke.listen: the registered health check is served there");
     }
-    FleetOptions fleet = fleet(o, consul);
-    LeaseOptions leases = o.has("leases") ? LeaseOptions.read(section(o, "leases"), fleet) : null;
+    FleetOptions fleet = fleet(root, consul);
+    LeaseOptions leases =
+        root.has("leases") ? LeaseOptions.read(section(root, "leases"), fleet) : null;
     return new OperatorFile(
         invoke.has("listen")
             ? Config.address(invoke.get("listen").getAsString(), "invoke.listen")
@@ -75,46 +76,46 @@
                 consul.has("workers") ? consul.get("workers").getAsString() : "",
                 positive(consul, "wait_ms", 30_000))
             : null,
-        learning(section(o, "learning")),
+        learning(section(root, "learning")),
         fleet,
         leases,
-        o.has("works") ? WorksOptions.read(section(o, "works"), leases) : null);
+        root.has("works") ? WorksOptions.read(section(root, "works"), leases) : null);
   }
 
   /**
    * Parses the section {@code learning}; null if it is absent. The address to listen on is
    * mandatory, so that every front end that fetches facts also serves them.
    */
-  private static FactClient.Settings learning(JsonObject o) throws InvalidConfig {
-    if (o.isEmpty()) {
+  private static FactClient.Settings learning(JsonObject section) throws InvalidConfig {
+    if (section.isEmpty()) {
       return null;
     }
-    if (!o.has("listen")) {
+    if (!section.has("listen")) {
       throw new InvalidConfig("learning needs learning.listen: the address for other front ends");
     }
     List<SocketAddress> peers = new ArrayList<>();
-    if (o.has("peers")) {
-      if (!o.get("peers").isJsonArray()) {
+    if (section.has("peers")) {
+      if (!section.get("peers").isJsonArray()) {
         throw new InvalidConfig("learning.peers must be a list of addresses");
       }
-      for (JsonElement e : o.getAsJsonArray("peers")) {
+      for (JsonElement e : section.getAsJsonArray("peers")) {
         peers.add(Config.address(e.getAsString(), "learning.peers"));
       }
     }
     return new FactClient.Settings(
-        Config.address(o.get("listen").getAsString(), "learning.listen"),
+        Config.address(section.get("listen").getAsString(), "learning.listen"),
         List.copyOf(peers),
-        positive(o, "deadline_ms", 400),
-        (int) positive(o, "page_bytes", 65_536),
-        positive(o, "bytes_per_s", 524_288));
+        positive(section, "deadline_ms", 400),
+        (int) positive(section, "page_bytes", 65_536),
+        positive(section, "bytes_per_s", 524_288));
   }
 
   /** Parses the section {@code fleet}; null if it is absent. */
-  private static FleetOptions fleet(JsonObject o, JsonObject consul) throws InvalidConfig {
-    if (!o.has("fleet")) {
+  private static FleetOptions fleet(JsonObject root, JsonObject consul) throws InvalidConfig {
+    if (!root.has("fleet")) {
       return null;
     }
-    FleetOptions fleet = FleetOptions.read(section(o, "fleet"));
+    FleetOptions fleet = FleetOptions.read(section(root, "fleet"));
     if (fleet.consul() && !consul.has("agent")) {
       throw new InvalidConfig("fleet.consul needs consul.agent");
     }
--- a/src/main/java/umberrun/config/WorksOptions.java
+++ b/src/main/java/umberrun/config/WorksOptions.java
@@ -26,23 +26,23 @@
    *
    * @param leases the section {@code leases}, or null if it is absent
    */
-  static WorksOptions read(JsonObject o, LeaseOptions leases) throws InvalidConfig {
+  static WorksOptions read(JsonObject section, LeaseOptions leases) throws InvalidConfig {
     if (leases == null) {
       throw new InvalidConfig(
           "works needs leases: plans are stored in replicated registers and executed by a lease holder");
     }
-    for (String key : o.keySet()) {
+    for (String key : section.keySet()) {
       if (!KEYS.contains(key)) {
         throw new InvalidConfig("works." + key + " is not a known key");
       }
     }
     WorksOptions options =
         new WorksOptions(
-            positive(o, "start_ms", 1_500),
-            positive(o, "quiet_ms", 30_000),
-            positive(o, "move_ms", 15_000),
-            o.has("jump") ? o.get("jump").getAsDouble() : 1.6,
-            o.has("refusals") ? o.get("refusals").getAsDouble() : 0.05);
+            positive(section, "start_ms", 1_500),
+            positive(section, "quiet_ms", 30_000),
+            positive(section, "move_ms", 15_000),
+            section.has("jump") ? section.get("jump").getAsDouble() : 1.6,
+            section.has("refusals") ? section.get("refusals").getAsDouble() : 0.05);
     if (options.startMillis > MAX_START_MILLIS) {
       throw new InvalidConfig(
           "works.start_ms must be at most " + MAX_START_MILLIS + ": clients wait for the start");
@@ -54,7 +54,8 @@
     return options;
   }
 
-  private static long positive(JsonObject o, String key, long defaultValue) throws InvalidConfig {
-    return OperatorFile.positive(o, key, "works." + key, defaultValue);
+  private static long positive(JsonObject section, String key, long defaultValue)
+      throws InvalidConfig {
+    return OperatorFile.positive(section, key, "works." + key, defaultValue);
   }
 }
--- a/src/main/java/umberrun/learning/Fact.java
+++ b/src/main/java/umberrun/learning/Fact.java
@@ -3,27 +3,34 @@
 import java.util.Comparator;
 
 /**
- * One thing that some instance saw for itself.
+ * An observation that some front end made itself.
  *
- * @param subject what it is about
- * @param value what was seen; its meaning is the subject's kind's
- * @param origin who saw it, with its incarnation
- * @param seenAt when, on this machine's steady clock, in microseconds; never younger than it was
+ * @param subject what was observed
+ * @param value the observed value; its meaning depends on the kind of the subject
+ * @param origin identifier of the front end that made the observation, with its incarnation
+ * @param seenAt time of the observation on the monotonic clock of this machine, in microseconds; it
+ *     may be earlier than the real time but never later
  */
 public record Fact(Subject subject, Value value, String origin, long seenAt) {
-  /** Kinds of facts; each ages at its own pace. */
+  /** Kinds of facts; each has its own half-life. */
   public enum Kind {
     COPY,
     WORKER,
     FUNCTION
   }
 
-  /** A copy of a function at a worker, a worker (no function), or a function (no worker). */
+  /**
+   * What a fact is about: a copy of a function at a worker, a worker, or a function.
+   *
+   * @param worker name of the worker, empty for a function
+   * @param function identifier of the function, 0 for a worker
+   */
   public record Subject(Kind kind, String worker, long function) {}
 
   /**
-   * Up to four figures: of a copy, nothing but that it stood loaded; of a worker, its pace and its
-   * share of bad outcomes; of a function, its class, lanes, load time and calls of late.
+   * Up to four numbers. A copy has none, as the fact itself says that the copy was loaded. A worker
+   * has its latency ratio and failure rate. A function has its class, lanes, load time and number
+   * of recent calls.
    */
   public record Value(double a, double b, double c, double d) implements Comparable<Value> {
     private static final Comparator<Value> ORDER =
@@ -32,6 +39,7 @@
             .thenComparingDouble(Value::c)
             .thenComparingDouble(Value::d);
 
+    /** The value of a copy. */
     public static final Value NONE = new Value(0, 0, 0, 0);
 
     @Override
@@ -45,13 +53,16 @@
   }
 
   /**
-   * The later one is right; between two of one moment any order will do, if all instances have the
-   * same.
+   * A later fact replaces an earlier one. For facts of the same time any order will do, as long as
+   * it is the same at all front ends.
    */
   private static final Comparator<Fact> ORDER =
       Comparator.comparingLong(Fact::seenAt).thenComparing(Fact::origin).thenComparing(Fact::value);
 
-  /** The greater in a total order, so that merging is commutative, associative and idempotent. */
+  /**
+   * Returns the later of two facts. It is the greater one in a total order, which makes merging
+   * commutative, associative and idempotent.
+   */
   static Fact later(Fact x, Fact y) {
     return ORDER.compare(x, y) >= 0 ? x : y;
   }
--- a/src/main/java/umberrun/learning/FactFilter.java
+++ b/src/main/java/umberrun/learning/FactFilter.java
@@ -4,51 +4,55 @@
 import umberrun.learning.Fact.Kind;
 
 /**
- * What hearsay may not do: the own list and the operators' bans always win over a fact, whatever
- * its age.
+ * Decides which facts from other front ends may be used. This front end's own worker list and the
+ * operators' suspensions always take precedence over a fact, whatever its age.
  */
 public final class FactFilter {
   /**
-   * What the own list and bans say of a worker.
+   * The status of a worker according to this front end's own worker list and suspensions.
    *
-   * @param startedAt when it last started, as told, 0 for long past
+   * @param startedAt when the worker last started according to the list, in microseconds on the
+   *     monotonic clock, or 0 if it started long ago
    */
   public record WorkerStatus(WorkerState state, long startedAt) {}
 
-  private final long coldSpan;
-  private final long most;
+  private final long coldDuration;
+  private final long maxAge;
 
   /**
-   * @param coldSpan how long after its start a worker may be cold
-   * @param most age of a fact that is of any use
+   * Creates a filter; both times are in microseconds.
+   *
+   * @param coldDuration how long after its start a worker may be cold
+   * @param maxAge facts older than this are rejected
    */
-  public FactFilter(long coldSpan, long most) {
-    this.coldSpan = coldSpan;
-    this.most = most;
+  public FactFilter(long coldDuration, long maxAge) {
+    this.coldDuration = coldDuration;
+    this.maxAge = maxAge;
   }
 
   /**
-   * Whether a fact may be believed; {@code standing} is null where the list does not name its
-   * worker.
+   * Returns whether a fact may be used.
+   *
+   * @param status the status of the worker that the fact is about, or null if the worker list does
+   *     not contain it
    */
-  public boolean admits(Fact fact, WorkerStatus standing, long now) {
-    if (now - fact.seenAt() > most) {
+  public boolean admits(Fact fact, WorkerStatus status, long now) {
+    if (now - fact.seenAt() > maxAge) {
       return false;
     }
     if (fact.subject().kind() == Kind.FUNCTION) {
       return true;
     }
-    if (standing == null
-        || standing.state()
-            != WorkerState.READY) { // guards drains and bans: no fact revives a worker
+    // No fact brings back a worker that drains or is suspended.
+    if (status == null || status.state() != WorkerState.READY) {
       return false;
     }
-    if (fact.seenAt()
-        <= standing.startedAt()) { // guards against what was true of it before it started anew
+    // What was true of a worker before its last start is no longer valid.
+    if (fact.seenAt() <= status.startedAt()) {
       return false;
     }
-    boolean cold = standing.startedAt() > 0 && now - standing.startedAt() < coldSpan;
-    return fact.subject().kind() != Kind.WORKER
-        || !cold; // a cold worker does not look warm by others' word
+    boolean cold = status.startedAt() > 0 && now - status.startedAt() < coldDuration;
+    // The latency that others saw must not make a cold worker look warm.
+    return fact.subject().kind() != Kind.WORKER || !cold;
   }
 }
--- a/src/main/java/umberrun/learning/FactPage.java
+++ b/src/main/java/umberrun/learning/FactPage.java
@@ -12,14 +12,18 @@
 import umberrun.learning.Fact.Value;
 
 /**
- * Facts on their way to another instance: ages instead of times, whole or not at all.
+ * A page of facts sent to another front end. It contains ages instead of times, as the clocks of
+ * the machines are not comparable, and it is either read completely or rejected.
  *
- * @param epoch the incarnation that answers; a cursor of another one means nothing to it
- * @param uptime how long it has run, in microseconds: one that has just started knows little
- * @param next where the next page begins, or -1 for none
+ * @param epoch incarnation of the front end that sent the page; the start of the next page is valid
+ *     for this incarnation only
+ * @param uptime how long the sender has been running, in microseconds; one that has just started
+ *     knows little
+ * @param next index of the first fact of the next page, or -1 if there is none
+ * @param facts the facts of this page
  */
 public record FactPage(String epoch, long uptime, long next, List<Fact> facts) {
-  /** A page that can't be used; the message says why. */
+  /** Thrown for a page that cannot be used. */
   public static final class UnusablePage extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -28,20 +32,33 @@
     }
   }
 
+  /** Version of the format. */
   public static final int VERSION = 1;
-  private static final int MOST_NAME = 256;
+
+  /** Maximum length of the names of workers and origins. */
+  private static final int MAX_NAME_LENGTH = 256;
+
+  /** Number of fields of a fact. */
+  private static final int FIELD_COUNT = 9;
 
   /**
-   * The page as text; of the facts as many as fit into so many bytes, the others are left to the
-   * next page.
+   * Formats a page as JSON.
+   *
+   * @param epoch incarnation of this front end
+   * @param uptime how long this front end has been running, in microseconds
+   * @param facts all facts, of which the page contains as many as fit
+   * @param from index of the first fact of the page
+   * @param maxBytes size limit of the page; a page contains at least one fact even if that is
+   *     larger
+   * @param now the current time, in microseconds
    */
   public static String write(
-      String epoch, long uptime, List<Fact> facts, int from, int mostBytes, long now) {
+      String epoch, long uptime, List<Fact> facts, int from, int maxBytes, long now) {
     StringBuilder items = new StringBuilder();
-    int i = from;
-    for (; i < facts.size(); i++) {
-      String item = item(facts.get(i), now).toString();
-      if (items.length() + item.length() > mostBytes && i > from) {
+    int next = from;
+    for (; next < facts.size(); next++) {
+      String item = toJson(facts.get(next), now).toString();
+      if (items.length() + item.length() > maxBytes && next > from) {
         break;
       }
       items.append(items.length() == 0 ? "" : ",").append(item);
@@ -51,46 +68,49 @@
     head.addProperty("epoch", epoch);
     head.addProperty("uptime_ms", uptime / 1_000);
     head.addProperty("known", facts.size());
-    head.addProperty("next", i < facts.size() ? i : -1);
+    head.addProperty("next", next < facts.size() ? next : -1);
     String text = head.toString();
     return text.substring(0, text.length() - 1) + ",\"facts\":[" + items + "]}";
   }
 
-  private static JsonArray item(Fact f, long now) {
-    JsonArray a = new JsonArray();
-    a.add(f.subject().kind().ordinal());
-    a.add(f.subject().worker());
-    a.add(Long.toHexString(f.subject().function()));
-    a.add((now - f.seenAt()) / 1_000);
-    a.add(f.origin());
-    for (double x : new double[] {f.value().a(), f.value().b(), f.value().c(), f.value().d()}) {
-      a.add(x);
+  private static JsonArray toJson(Fact fact, long now) {
+    JsonArray fields = new JsonArray();
+    fields.add(fact.subject().kind().ordinal());
+    fields.add(fact.subject().worker());
+    fields.add(Long.toHexString(fact.subject().function()));
+    fields.add((now - fact.seenAt()) / 1_000);
+    fields.add(fact.origin());
+    for (double number :
+        new double[] {fact.value().a(), fact.value().b(), fact.value().c(), fact.value().d()}) {
+      fields.add(number);
     }
-    return a;
+    return fields;
   }
 
   /**
-   * Reads a page that arrived at {@code now}; {@code took} microseconds may have passed since it
-   * was written. Fields that are not known here are passed over, a fact that can't be read is left
-   * out.
+   * Parses a page. Unknown fields are ignored, and so are facts of an unknown kind or with values
+   * out of range. A page with a field that is missing or of the wrong type is rejected.
+   *
+   * @param now when the page arrived, in microseconds
+   * @param elapsed how long ago the page may have been written, in microseconds
    */
-  public static FactPage read(String text, long now, long took) throws UnusablePage {
+  public static FactPage read(String text, long now, long elapsed) throws UnusablePage {
     try {
-      JsonObject o = JsonParser.parseString(text).getAsJsonObject();
-      if (o.get("v").getAsInt() != VERSION) {
-        throw new UnusablePage("form " + o.get("v") + " is not known");
+      JsonObject page = JsonParser.parseString(text).getAsJsonObject();
+      if (page.get("v").getAsInt() != VERSION) {
+        throw new UnusablePage("version " + page.get("v") + " is not supported");
       }
       List<Fact> facts = new ArrayList<>();
-      for (JsonElement e : o.getAsJsonArray("facts")) {
-        Fact f = fact(e, now - took);
-        if (f != null) {
-          facts.add(f);
+      for (JsonElement element : page.getAsJsonArray("facts")) {
+        Fact fact = fromJson(element, now - elapsed);
+        if (fact != null) {
+          facts.add(fact);
         }
       }
       return new FactPage(
-          o.get("epoch").getAsString(),
-          1_000 * o.get("uptime_ms").getAsLong(),
-          o.get("next").getAsLong(),
+          page.get("epoch").getAsString(),
+          1_000 * page.get("uptime_ms").getAsLong(),
+          page.get("next").getAsLong(),
           facts);
     } catch (JsonParseException
         | IllegalStateException
@@ -98,35 +118,36 @@
         | NumberFormatException
         | NullPointerException
         | ClassCastException e) {
-      throw new UnusablePage("not a page: " + e.getMessage());
+      throw new UnusablePage("not a valid page: " + e.getMessage());
     }
   }
 
-  private static Fact fact(JsonElement e, long writtenAt) {
-    if (!(e instanceof JsonArray a) || a.size() < 9) {
+  /** Parses a fact; null if it is of an unknown kind or has values out of range. */
+  private static Fact fromJson(JsonElement element, long writtenAt) {
+    if (!(element instanceof JsonArray fields) || fields.size() < FIELD_COUNT) {
       return null;
     }
-    int kind = a.get(0).getAsInt();
-    long age = a.get(3).getAsLong();
-    String worker = a.get(1).getAsString();
-    String origin = a.get(4).getAsString();
-    // Guards against a lying peer: nothing is seen in the future, and names do not fill the memory.
+    int kind = fields.get(0).getAsInt();
+    long age = fields.get(3).getAsLong();
+    String worker = fields.get(1).getAsString();
+    String origin = fields.get(4).getAsString();
+    // A faulty peer must not send observations from the future or names that exhaust the memory.
     if (kind < 0
         || kind >= Kind.values().length
         || age < 0
         || age > Long.MAX_VALUE / 4_000
-        || worker.length() > MOST_NAME
-        || origin.length() > MOST_NAME) {
+        || worker.length() > MAX_NAME_LENGTH
+        || origin.length() > MAX_NAME_LENGTH) {
       return null;
     }
     return new Fact(
         new Subject(
-            Kind.values()[kind], worker, Long.parseUnsignedLong(a.get(2).getAsString(), 16)),
+            Kind.values()[kind], worker, Long.parseUnsignedLong(fields.get(2).getAsString(), 16)),
         new Value(
-            a.get(5).getAsDouble(),
-            a.get(6).getAsDouble(),
-            a.get(7).getAsDouble(),
-            a.get(8).getAsDouble()),
+            fields.get(5).getAsDouble(),
+            fields.get(6).getAsDouble(),
+            fields.get(7).getAsDouble(),
+            fields.get(8).getAsDouble()),
         origin,
         writtenAt - age * 1_000);
   }
--- a/src/main/java/umberrun/learning/FactStore.java
+++ b/src/main/java/umberrun/learning/FactStore.java
@@ -9,23 +9,26 @@
 import umberrun.learning.Fact.Subject;
 
 /**
- * What this instance saw and heard: for each subject the fact that was seen last. Bounded; free of
- * I/O.
+ * The facts that this front end observed itself or received from others: for each subject the
+ * latest one. The number of facts is bounded. The class does no I/O.
  */
 public final class FactStore {
-  private final int most;
+  private final int maxFacts;
   private final Map<Subject, Fact> facts = new HashMap<>();
 
   /**
-   * @param most facts kept; beyond that the ones seen longest ago go
+   * Creates an empty store.
+   *
+   * @param maxFacts maximum number of facts; when it is exceeded, the oldest ones are removed
    */
-  public FactStore(int most) {
-    this.most = most;
+  public FactStore(int maxFacts) {
+    this.maxFacts = maxFacts;
   }
 
-  /** Takes a fact in; whether it is news. */
+  /** Adds a fact. Returns whether it is newer than what was known of its subject. */
   public boolean merge(Fact fact) {
-    if (!fact.value().isFinite()) { // guards the module against a peer's nonsense
+    // Invalid numbers from a faulty peer must not reach the dispatcher.
+    if (!fact.value().isFinite()) {
       return false;
     }
     Fact before = facts.get(fact.subject());
@@ -33,32 +36,37 @@
       return false;
     }
     facts.put(fact.subject(), fact);
-    if (facts.size() > most) {
+    if (facts.size() > maxFacts) {
       prune();
     }
     return true;
   }
 
-  /** Forgets a quarter at once, so that the sorting is paid for by many facts. */
+  /** Removes the oldest quarter at once, so that one sort pays for many new facts. */
   private void prune() {
-    List<Fact> all = new ArrayList<>(facts.values());
-    all.sort(Comparator.comparingLong(Fact::seenAt));
-    all.subList(0, Math.max(1, all.size() / 4)).forEach(f -> facts.remove(f.subject()));
+    List<Fact> oldestFirst = new ArrayList<>(facts.values());
+    oldestFirst.sort(Comparator.comparingLong(Fact::seenAt));
+    oldestFirst
+        .subList(0, Math.max(1, oldestFirst.size() / 4))
+        .forEach(f -> facts.remove(f.subject()));
   }
 
-  /** Forgets what was seen before {@code first}. */
-  public void forget(long first) {
-    facts.values().removeIf(f -> f.seenAt() < first);
+  /** Removes the facts observed before {@code earliest}, in microseconds. */
+  public void forget(long earliest) {
+    facts.values().removeIf(f -> f.seenAt() < earliest);
   }
 
+  /** Returns the latest fact about a subject, or null if there is none. */
   public Fact get(Subject subject) {
     return facts.get(subject);
   }
 
+  /** Returns a copy of all facts, in no particular order. */
   public Collection<Fact> all() {
     return List.copyOf(facts.values());
   }
 
+  /** Returns the number of facts. */
   public int size() {
     return facts.size();
   }
--- a/src/main/java/umberrun/learning/net/FactClient.java
+++ b/src/main/java/umberrun/learning/net/FactClient.java
@@ -26,18 +26,18 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Asks running instances what they know, before this one says that it is ready. Whatever peers do,
- * be silent, slow, endless or wrong, it is over at one deadline.
+ * Fetches facts from running front ends before this one reports itself as ready. The fetching ends
+ * at a fixed deadline, whether peers are silent, slow, send data without end or send invalid data.
  */
 public final class FactClient {
   /**
-   * What the operator's file says.
+   * The section {@code learning} of the operator's file.
    *
-   * @param listen where other instances ask this one
-   * @param peers whom to ask
-   * @param deadlineMillis how long readiness waits for them at most
-   * @param pageBytes a page's size
-   * @param bytesPerSecond what answering others may cost
+   * @param listen address at which other front ends fetch facts from this one
+   * @param peers front ends to fetch facts from
+   * @param deadlineMillis maximum time that a start waits for the peers
+   * @param pageBytes size of a page
+   * @param bytesPerSecond limit of the bytes sent to other front ends
    */
   public record Settings(
       SocketAddress listen,
@@ -46,71 +46,77 @@
       int pageBytes,
       long bytesPerSecond) {}
 
-  private static final int AT_ONCE = 3;
-  private static final long SNAPSHOT = -1;
-  private static final int MOST_PAGES = 16;
+  private static final int MAX_CONCURRENT_PEERS = 3;
 
-  /**
-   * One that has run for less has seen little; its facts are taken, but others are asked as well.
-   */
-  private static final long SETTLED_MICROS = 5_000_000;
+  /** Value of {@code withinMillis} that requests all facts. */
+  private static final long ALL_FACTS = -1;
 
-  /** A page may be longer than was asked for by its head and one fact. */
-  private static final int HEAD_BYTES = 2_048;
+  private static final int MAX_PAGES_PER_PEER = 16;
 
   /**
-   * What is new at the peer is asked for so often, and at so many times: by then this instance has
-   * seen for itself.
+   * A peer that has been running for less than this knows little: its facts are used, but other
+   * peers are asked as well.
    */
+  private static final long MIN_UPTIME_MICROS = 5_000_000;
+
+  /** A page may exceed the configured size by its header and one fact. */
+  private static final int PAGE_OVERHEAD_BYTES = 2_048;
+
+  /** Interval at which new facts are fetched from the best peer after the start. */
   private static final long DELTA_MILLIS = 1_000;
 
-  private static final int DELTAS = 4;
+  /** Number of such fetches; after that this front end has made its own observations. */
+  private static final int MAX_DELTAS = 4;
 
   private final Vertx vertx;
   private final HttpClient client;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Clock clock;
   private final Counters counters;
   private final Settings settings;
   private final Consumer<String> log;
-  private final Deque<SocketAddress> unasked;
-  private final Supplier<Future<List<SocketAddress>>> members;
+  private final Deque<SocketAddress> pendingPeers;
+  private final Supplier<Future<List<SocketAddress>>> fleetPeers;
   private final Promise<Void> done = Promise.promise();
-  private boolean membersDue;
-  private int peers;
-  private int asking;
-  private int used;
+  private boolean fleetPeersPending;
+  private int peerCount;
+  private int activePeers;
+  private int factsUsed;
+
+  /** Whether a peer with a sufficient uptime has sent all its facts. */
   private boolean satisfied;
 
-  /** The peer that has told most; what is new there is asked for afterwards. */
-  private SocketAddress best;
+  /** The peer with the most facts used; new facts are fetched from it after the start. */
+  private SocketAddress bestPeer;
 
-  private int bestUsed;
+  private int bestPeerFactsUsed;
 
   /**
-   * @param members gives, once they are known, those who live now, the nearest first; null where
-   *     nobody can tell
+   * Creates a client without connecting to any peer.
+   *
+   * @param fleetPeers returns the addresses of the living members of the fleet, the nearest first,
+   *     once they are known; null if the fleet is disabled
    */
   public FactClient(
       Vertx vertx,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Clock clock,
       Counters counters,
       Settings settings,
       long seed,
-      Supplier<Future<List<SocketAddress>>> members,
+      Supplier<Future<List<SocketAddress>>> fleetPeers,
       Consumer<String> log) {
-    this.members = members;
+    this.fleetPeers = fleetPeers;
     this.vertx = vertx;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.clock = clock;
     this.counters = counters;
     this.settings = settings;
     this.log = log;
+    // Shuffled, so that a fleet that restarts does not ask the first peer of the file all at once.
     List<SocketAddress> shuffled = new ArrayList<>(settings.peers());
-    Collections.shuffle(
-        shuffled, new Random(seed)); // guards the first peer of the file against a whole fleet
-    this.unasked = new ArrayDeque<>(shuffled);
+    Collections.shuffle(shuffled, new Random(seed));
+    this.pendingPeers = new ArrayDeque<>(shuffled);
     this.client =
         vertx.createHttpClient(
             new HttpClientOptions()
@@ -120,110 +126,118 @@
   }
 
   /**
-   * Done once a peer that has run for a while has told all it knows, or all were asked, or the time
-   * is up.
+   * Fetches facts. Completes once a peer with a sufficient uptime has sent all its facts, or all
+   * peers were asked, or the deadline has passed.
    */
   public Future<Void> fetchFacts() {
-    long begun = clock.now();
+    long startedAt = clock.now();
     long timer = vertx.setTimer(settings.deadlineMillis(), t -> done.tryComplete());
-    peers = unasked.size();
-    if (members != null) {
-      membersDue = true;
-      members
+    peerCount = pendingPeers.size();
+    if (fleetPeers != null) {
+      fleetPeersPending = true;
+      fleetPeers
           .get()
           .onComplete(
-              m -> {
-                membersDue = false;
-                if (m.succeeded()) {
-                  unasked.removeAll(
-                      m.result()); // who is known to live is asked before who is only on the list
-                  for (int i = m.result().size() - 1; i >= 0; i--) {
-                    unasked.addFirst(m.result().get(i));
+              found -> {
+                fleetPeersPending = false;
+                if (found.succeeded()) {
+                  // Members that are known to be alive are asked before those of the file.
+                  pendingPeers.removeAll(found.result());
+                  for (int i = found.result().size() - 1; i >= 0; i--) {
+                    pendingPeers.addFirst(found.result().get(i));
                   }
-                  peers += m.result().size();
+                  peerCount += found.result().size();
                 }
-                askSome();
+                askPeers();
               });
     }
-    askSome();
+    askPeers();
     return done.future()
         .onComplete(
             v -> {
               vertx.cancelTimer(timer);
-              follow(1);
+              scheduleDelta(1);
               log.accept(
                   "learning: "
-                      + used
+                      + factsUsed
                       + " facts of use from "
-                      + peers
+                      + peerCount
                       + " peers in "
-                      + (clock.now() - begun) / 1_000
+                      + (clock.now() - startedAt) / 1_000
                       + " ms");
             });
   }
 
-  private void askSome() {
-    for (int i = asking; i < AT_ONCE; i++) {
-      askNext();
+  private void askPeers() {
+    for (int i = activePeers; i < MAX_CONCURRENT_PEERS; i++) {
+      askNextPeer();
     }
-    if (asking == 0 && !membersDue) {
+    if (activePeers == 0 && !fleetPeersPending) {
       done.tryComplete();
     }
   }
 
-  private void askNext() {
-    SocketAddress peer = unasked.poll();
+  private void askNextPeer() {
+    SocketAddress peer = pendingPeers.poll();
     if (peer == null || satisfied || done.future().isComplete()) {
       return;
     }
-    asking++;
-    int before = used;
-    ask(peer, 0, 0, SNAPSHOT)
+    activePeers++;
+    int usedBefore = factsUsed;
+    fetchPages(peer, 0, 0, ALL_FACTS)
         .onSuccess(
             v -> {
-              if (used - before > bestUsed) {
-                best = peer;
-                bestUsed = used - before;
+              if (factsUsed - usedBefore > bestPeerFactsUsed) {
+                bestPeer = peer;
+                bestPeerFactsUsed = factsUsed - usedBefore;
               }
             })
         .onComplete(
-            v -> over(),
+            v -> onPeerDone(),
             e -> {
-              log.accept("learning: " + peer + " is of no use: " + e.getMessage());
-              over();
+              log.accept("learning: " + peer + " sent no usable facts: " + e.getMessage());
+              onPeerDone();
             });
   }
 
-  private void over() {
-    asking--;
-    askNext();
-    if (satisfied || asking == 0 && !membersDue) {
+  private void onPeerDone() {
+    activePeers--;
+    askNextPeer();
+    if (satisfied || activePeers == 0 && !fleetPeersPending) {
       done.tryComplete();
     }
   }
 
   /**
-   * Asks the best peer for what it saw since: it may itself have begun a moment before, and traffic
-   * goes on there. A duration says since when, so that no clock and no memory of us at the peer is
-   * needed.
+   * Schedules the next fetch of new facts from the best peer, which may have started only a moment
+   * before this front end and continues to receive traffic. The request contains a duration, so
+   * that it depends neither on synchronized clocks nor on state at the peer.
    */
-  private void follow(int round) {
-    if (best == null || round > DELTAS) {
+  private void scheduleDelta(int round) {
+    if (bestPeer == null || round > MAX_DELTAS) {
       client.close();
       return;
     }
     vertx.setTimer(
         DELTA_MILLIS,
         t ->
-            ask(best, 0, 0, DELTA_MILLIS + settings.deadlineMillis())
+            fetchPages(bestPeer, 0, 0, DELTA_MILLIS + settings.deadlineMillis())
                 .onFailure(
-                    e -> log.accept("learning: " + best + " tells nothing new: " + e.getMessage()))
-                .onComplete(v -> follow(round + 1)));
+                    e ->
+                        log.accept(
+                            "learning: " + bestPeer + " sent no new facts: " + e.getMessage()))
+                .onComplete(v -> scheduleDelta(round + 1)));
   }
 
-  /** Asks for a page of what was seen within so many milliseconds, and then for what follows it. */
-  private Future<Void> ask(SocketAddress peer, long from, int pages, long within) {
-    long asked = clock.now();
+  /**
+   * Fetches a page of facts from a peer, and then the pages that follow it.
+   *
+   * @param from index of the first fact of the page
+   * @param pages number of pages fetched before
+   * @param withinMillis maximum age of the facts, or {@link #ALL_FACTS}
+   */
+  private Future<Void> fetchPages(SocketAddress peer, long from, int pages, long withinMillis) {
+    long requestedAt = clock.now();
     counters.add(Count.PAGES_ASKED);
     return client
         .request(
@@ -237,54 +251,53 @@
                         + FactPage.VERSION
                         + "&from="
                         + from
-                        + (within == SNAPSHOT ? "" : "&within_ms=" + within))
+                        + (withinMillis == ALL_FACTS ? "" : "&within_ms=" + withinMillis))
                 .setTimeout(settings.deadlineMillis()))
-        .compose(r -> r.send().compose(this::body))
+        .compose(request -> request.send().compose(this::readBody))
         .compose(
             body -> {
-              if (within == SNAPSHOT
-                  && done.future()
-                      .isComplete()) { // too late: calls are taken on other beliefs by now
+              // After the deadline, calls are already dispatched without these facts.
+              if (withinMillis == ALL_FACTS && done.future().isComplete()) {
                 return Future.succeededFuture();
               }
               FactPage page;
               try {
-                page = FactPage.read(body.toString(), clock.now(), clock.now() - asked);
+                page = FactPage.read(body.toString(), clock.now(), clock.now() - requestedAt);
               } catch (FactPage.UnusablePage e) {
                 return Future.failedFuture(e);
               }
               counters.add(Count.PAGES_USED);
-              return owner
+              return dispatchLoop
                   .mergeFacts(page.facts())
                   .compose(
-                      n -> {
-                        used += n;
-                        boolean more = page.next() > from && pages + 1 < MOST_PAGES;
-                        satisfied |= !more && page.uptime() >= SETTLED_MICROS;
+                      count -> {
+                        factsUsed += count;
+                        boolean more = page.next() > from && pages + 1 < MAX_PAGES_PER_PEER;
+                        satisfied |= !more && page.uptime() >= MIN_UPTIME_MICROS;
                         return more
-                            ? ask(peer, page.next(), pages + 1, within)
+                            ? fetchPages(peer, page.next(), pages + 1, withinMillis)
                             : Future.succeededFuture();
                       });
             });
   }
 
-  /** Guards the memory against a page without an end. */
-  private Future<Buffer> body(HttpClientResponse response) {
+  /** Reads the body of a response; fails on one that is too long, to bound the memory. */
+  private Future<Buffer> readBody(HttpClientResponse response) {
     if (response.statusCode() != 200) {
       return Future.failedFuture("status " + response.statusCode());
     }
-    Promise<Buffer> whole = Promise.promise();
+    Promise<Buffer> result = Promise.promise();
     Buffer body = Buffer.buffer();
     response.handler(
-        piece -> {
-          body.appendBuffer(piece);
-          if (body.length() > settings.pageBytes() + HEAD_BYTES) {
-            whole.tryFail("its page has no end");
+        chunk -> {
+          body.appendBuffer(chunk);
+          if (body.length() > settings.pageBytes() + PAGE_OVERHEAD_BYTES) {
+            result.tryFail("the page exceeds the size limit");
             response.request().connection().close();
           }
         });
-    response.endHandler(v -> whole.tryComplete(body));
-    response.exceptionHandler(whole::tryFail);
-    return whole.future();
+    response.endHandler(v -> result.tryComplete(body));
+    response.exceptionHandler(result::tryFail);
+    return result.future();
   }
 }
--- a/src/main/java/umberrun/learning/net/FactExchange.java
+++ b/src/main/java/umberrun/learning/net/FactExchange.java
@@ -7,23 +7,32 @@
 import umberrun.learning.FactPage;
 import umberrun.learning.FactPage.UnusablePage;
 
-/** Pages in and out of the owner, whichever way they travel. */
+/** Writes and merges pages of facts, independent of the transport. */
 public final class FactExchange {
   private FactExchange() {}
 
-  /** The facts from {@code from} on as one page of at most so many bytes. */
+  /**
+   * Formats one page of facts; see {@link FactPage#write}.
+   *
+   * @param from index of the first fact of the page
+   * @param maxBytes size limit of the page
+   */
   public static String writePage(
-      String epoch, long uptime, List<Fact> facts, int from, int mostBytes, long now) {
-    return FactPage.write(epoch, uptime, facts, from, mostBytes, now);
+      String epoch, long uptime, List<Fact> facts, int from, int maxBytes, long now) {
+    return FactPage.write(epoch, uptime, facts, from, maxBytes, now);
   }
 
   /**
-   * Takes in a page; how many of its facts were of use. {@code took} is how long ago it may have
-   * been written.
+   * Parses a page and merges its facts. Returns how many of them were used, or fails with {@link
+   * UnusablePage}.
+   *
+   * @param now the current time, in microseconds
+   * @param elapsed how long ago the page may have been written, in microseconds
    */
-  public static Future<Integer> mergePage(DispatchLoop owner, String page, long now, long took) {
+  public static Future<Integer> mergePage(
+      DispatchLoop dispatchLoop, String page, long now, long elapsed) {
     try {
-      return owner.mergeFacts(FactPage.read(page, now, took).facts());
+      return dispatchLoop.mergeFacts(FactPage.read(page, now, elapsed).facts());
     } catch (UnusablePage e) {
       return Future.failedFuture(e);
     }
--- a/src/main/java/umberrun/learning/net/FactServer.java
+++ b/src/main/java/umberrun/learning/net/FactServer.java
@@ -21,38 +21,46 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Answers other instances that ask what this one knows, at a listener of its own and within a
- * budget. Calls come first: while this machine is late nobody is answered but with a refusal.
+ * Serves the facts of this front end to other front ends over HTTP, at its own address and within a
+ * budget of bytes. Calls take precedence: while the event loop is late, requests for facts are
+ * refused.
  */
 public final class FactServer {
   private static final int IDLE_SECONDS = 5;
-  private static final int MOST_HEAD = 2_048;
+  private static final int MAX_HEADER_BYTES = 2_048;
 
-  /** The pages of one snapshot are cut from the same list for this long. */
+  /** How long the pages after the first are taken from the same snapshot. */
   private static final long SNAPSHOT_MICROS = 2_000_000;
 
-  private static final long BUSY_MICROS = 1_000_000;
+  /**
+   * Maximum age of the snapshot for a first page, so that a restart of half a fleet needs only one.
+   */
+  private static final long FIRST_PAGE_SNAPSHOT_MICROS = SNAPSHOT_MICROS / 4;
 
-  private final DispatchLoop owner;
+  /** When a client may try again after a refusal because the event loop is late. */
+  private static final long LOOP_LATE_MICROS = 1_000_000;
+
+  private final DispatchLoop dispatchLoop;
   private final Clock clock;
   private final Counters counters;
   private final Settings settings;
-  private final ConnectionLimits account;
+  private final ConnectionLimits connectionLimits;
   private final HttpServer server;
   private final TokenBucket budget;
   private final long startedAt;
   private List<Fact> snapshot = List.of();
   private long snapshotAt = Long.MIN_VALUE / 2;
 
+  /** Creates a server that does not listen yet. */
   public FactServer(
       Vertx vertx,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Clock clock,
       Counters counters,
       Settings settings,
-      ConnectionLimits account) {
-    this.account = account;
-    this.owner = owner;
+      ConnectionLimits connectionLimits) {
+    this.connectionLimits = connectionLimits;
+    this.dispatchLoop = dispatchLoop;
     this.clock = clock;
     this.counters = counters;
     this.settings = settings;
@@ -69,21 +77,22 @@
                 .setReuseAddress(true)
                 .setReusePort(true)
                 .setHttp2ClearTextEnabled(false)
-                .setMaxInitialLineLength(MOST_HEAD)
-                .setMaxHeaderSize(MOST_HEAD)
+                .setMaxInitialLineLength(MAX_HEADER_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES)
                 .setIdleTimeout(IDLE_SECONDS));
     server.connectionHandler(
-        c -> {
-          if (!account.tryAcquire(
-              Purpose.PEERS)) { // guards the descriptors: peers can ask somebody else
-            c.close();
+        connection -> {
+          // Above the limit of file descriptors, peers can ask another front end.
+          if (!connectionLimits.tryAcquire(Purpose.PEERS)) {
+            connection.close();
             return;
           }
-          c.closeHandler(v -> account.release(Purpose.PEERS));
+          connection.closeHandler(v -> connectionLimits.release(Purpose.PEERS));
         });
     server.requestHandler(this::handle);
   }
 
+  /** Opens the listener. Returns the actual port. */
   public Future<Integer> listen(SocketAddress address) {
     return server.listen(address).map(HttpServer::actualPort);
   }
@@ -94,18 +103,21 @@
       return;
     }
     long from = number(request.getParam("from"), 0);
-    long within = number(request.getParam("within_ms"), Long.MAX_VALUE / 4_000);
-    if (number(request.getParam("v"), -1) != FactPage.VERSION || from < 0 || within < 0) {
+    long withinMillis = number(request.getParam("within_ms"), Long.MAX_VALUE / 4_000);
+    if (number(request.getParam("v"), -1) != FactPage.VERSION || from < 0 || withinMillis < 0) {
       request.response().setStatusCode(400).end("only v=" + FactPage.VERSION + " is spoken here\n");
       return;
     }
-    long wait = owner.isKeepingUp() ? budget.take(settings.pageBytes(), clock.now()) : BUSY_MICROS;
-    if (wait > 0) {
+    long waitMicros =
+        dispatchLoop.isKeepingUp()
+            ? budget.take(settings.pageBytes(), clock.now())
+            : LOOP_LATE_MICROS;
+    if (waitMicros > 0) {
       counters.add(Count.PAGES_REFUSED);
       request
           .response()
           .setStatusCode(503)
-          .putHeader("Retry-After", Long.toString(1 + wait / 1_000_000))
+          .putHeader("Retry-After", Long.toString(1 + waitMicros / 1_000_000))
           .end();
       return;
     }
@@ -115,13 +127,13 @@
               counters.add(Count.PAGES_GIVEN);
               long now = clock.now();
               List<Fact> wanted =
-                  facts.stream().filter(f -> now - f.seenAt() <= within * 1_000).toList();
+                  facts.stream().filter(f -> now - f.seenAt() <= withinMillis * 1_000).toList();
               request
                   .response()
                   .putHeader("Content-Type", "application/json")
                   .end(
                       FactPage.write(
-                          owner.instanceId(),
+                          dispatchLoop.instanceId(),
                           now - startedAt,
                           wanted,
                           (int) Math.min(from, wanted.size()),
@@ -131,16 +143,17 @@
         .onFailure(e -> request.response().setStatusCode(500).end());
   }
 
-  /** The facts, what was seen last first: whoever hears only a part of them hears the best part. */
+  /**
+   * Returns the facts, the latest first, so that a peer that gets only a part gets the best part.
+   *
+   * @param continues whether the request is for a page after the first
+   */
   private Future<List<Fact>> snapshot(boolean continues) {
     long age = clock.now() - snapshotAt;
-    if (age
-        < (continues
-            ? SNAPSHOT_MICROS
-            : SNAPSHOT_MICROS / 4)) { // half a fleet that restarts costs one list
+    if (age < (continues ? SNAPSHOT_MICROS : FIRST_PAGE_SNAPSHOT_MICROS)) {
       return Future.succeededFuture(snapshot);
     }
-    return owner
+    return dispatchLoop
         .facts()
         .map(
             facts -> {
@@ -151,7 +164,7 @@
             });
   }
 
-  /** A number, or -1 where it is none. */
+  /** Parses a parameter; -1 if it is not a number, {@code absent} if it is null. */
   private static long number(String text, long absent) {
     try {
       return text == null ? absent : Long.parseLong(text);
--- a/src/test/java/umberrun/LearningScenariosTest.java
+++ b/src/test/java/umberrun/LearningScenariosTest.java
@@ -26,132 +26,140 @@
 import umberrun.config.Config.InvalidConfig;
 import umberrun.stats.Counters.Count;
 
-/** What a new instance learns from running ones, and what peers can't do to it. */
+/** Tests what a new front end learns from running ones, and that faulty peers do no harm. */
 public class LearningScenariosTest {
 
   /**
-   * An instance with a listener for peers that has served some calls; the next ones start beside
+   * Starts a front end that serves facts and has served some calls; further front ends start beside
    * it.
    */
   private static Scenario experienced(String... workers) throws Exception {
-    Scenario s = Scenario.of(workers);
-    s.learn(); // it has nobody to ask
+    Scenario scenario = Scenario.of(workers);
+    // It has no peers.
+    scenario.learn();
     for (String w : workers) {
-      s.worker(w).answersAll = true;
+      scenario.worker(w).answersAll = true;
     }
     for (int i = 1; i <= 20; i++) {
-      s.play("c-first send " + i + " date-lookup\nc-first expect [1," + i);
+      scenario.play("c-first send " + i + " date-lookup\nc-first expect [1," + i);
     }
-    return s;
+    return scenario;
   }
 
-  private static String peer(Server server) {
+  private static String factAddress(Server server) {
     return "127.0.0.1:" + server.peerPort();
   }
 
   @Test
-  public void aNewInstanceLearnsAndPassesOnWhatItHeard() throws Exception {
-    try (Scenario s = experienced("w1", "w2", "w3")) {
-      Server first = s.server;
-      s.learn(peer(first));
-      assertTrue(s.server.counters().get(Count.FACTS_USED) >= 3);
-      s.play("c1 send 1 date-lookup\nc1 expect [1,1");
-      Server second = s.server;
-      s.learn(peer(second), peer(first)); // two peers that tell the same with other ages
-      assertTrue(s.server.counters().get(Count.FACTS_USED) >= 3);
+  public void aNewFrontEndLearnsAndPassesOnReceivedFacts() throws Exception {
+    try (Scenario scenario = experienced("w1", "w2", "w3")) {
+      Server first = scenario.server;
+      scenario.learn(factAddress(first));
+      assertTrue(scenario.server.counters().get(Count.FACTS_USED) >= 3);
+      scenario.play("c1 send 1 date-lookup\nc1 expect [1,1");
+      Server second = scenario.server;
+      // Two peers send the same facts with different ages.
+      scenario.learn(factAddress(second), factAddress(first));
+      assertTrue(scenario.server.counters().get(Count.FACTS_USED) >= 3);
     }
   }
 
-  /** What the peer sees after the first answer is asked for as well. */
+  /** Facts that the peer observes after its first answer must be fetched as well. */
   @Test
-  public void whatIsNewAtThePeerFollows() throws Exception {
-    try (Scenario s = experienced("w1", "w2")) {
-      Server first = s.server;
-      s.learn(peer(first));
-      long before = s.server.counters().get(Count.FACTS_USED);
-      Server second = s.server;
-      s.server = first;
-      s.play("c9 send 9 date-lookup obj=00000000000000aa\nc9 expect [1,9"); // a function of which
-      // nobody knew
-      s.server = second;
-      s.await(Count.FACTS_USED, before);
+  public void newFactsOfThePeerAreFetchedLater() throws Exception {
+    try (Scenario scenario = experienced("w1", "w2")) {
+      Server first = scenario.server;
+      scenario.learn(factAddress(first));
+      long before = scenario.server.counters().get(Count.FACTS_USED);
+      Server second = scenario.server;
+      scenario.server = first;
+      // A function that was unknown so far.
+      scenario.play("c9 send 9 date-lookup obj=00000000000000aa\nc9 expect [1,9");
+      scenario.server = second;
+      scenario.await(Count.FACTS_USED, before);
     }
   }
 
   /**
-   * A list that comes after the facts finds them waiting, and still says who may be believed in.
+   * Facts about workers that are not listed yet must be kept, and used for those workers only that
+   * the list then contains.
    */
   @Test
-  public void factsThatComeBeforeTheListWaitForIt() throws Exception {
+  public void factsThatArriveBeforeTheWorkerListAreKept() throws Exception {
     String page =
         "{\"v\":1,\"epoch\":\"e\",\"uptime_ms\":99999,\"next\":-1,\"facts\":[[1,\"w8\",\"0\",5,\"o\",1,0,0,0],"
             + "[1,\"w9\",\"0\",5,\"o\",1,0,0,0]]}";
-    try (ServerSocket p =
-            peer(
+    try (ServerSocket peer =
+            faultyPeer(
                 "HTTP/1.1 200 OK|Content-Length: " + page.length() + "||" + page,
                 false,
                 new CountDownLatch(1));
-        Scenario s = Scenario.of("w1")) {
-      s.learn("127.0.0.1:" + p.getLocalPort());
-      assertEquals(0, s.server.counters().get(Count.FACTS_USED));
-      s.join("w8");
-      s.await(Count.FACTS_USED, 0);
-      assertEquals(1, s.server.counters().get(Count.FACTS_USED));
+        Scenario scenario = Scenario.of("w1")) {
+      scenario.learn("127.0.0.1:" + peer.getLocalPort());
+      assertEquals(0, scenario.server.counters().get(Count.FACTS_USED));
+      scenario.join("w8");
+      scenario.await(Count.FACTS_USED, 0);
+      assertEquals(1, scenario.server.counters().get(Count.FACTS_USED));
     }
   }
 
-  /** Facts older than a drain revive nobody: the own list wins. */
+  /** A fact that is older than a drain must not bring the worker back: the own list decides. */
   @Test
-  public void aDrainedWorkerIsNotRevivedByHearsay() throws Exception {
-    try (Scenario s = experienced("w1", "w2")) {
-      Server first = s.server;
-      s.tell("w1", "terminating");
-      s.worker("w1").commands.clear();
-      s.learn(peer(first));
+  public void aDrainedWorkerIsNotBroughtBackByFacts() throws Exception {
+    try (Scenario scenario = experienced("w1", "w2")) {
+      Server first = scenario.server;
+      scenario.tell("w1", "terminating");
+      scenario.worker("w1").commands.clear();
+      scenario.learn(factAddress(first));
       for (int i = 1; i <= 12; i++) {
-        s.play("c1 send 5" + i + " date-lookup\nc1 expect [1,5" + i);
+        scenario.play("c1 send 5" + i + " date-lookup\nc1 expect [1,5" + i);
       }
-      s.play("w1 wait 1");
+      scenario.play("w1 wait 1");
     }
   }
 
-  /** Answering others stays within its budget, and what is not spoken is refused. */
+  /** The server of facts must keep to its budget and reject unknown versions and paths. */
   @Test
-  public void theAnsweringSideKeepsToItsBudget() throws Exception {
-    try (Scenario s = experienced("w1")) {
-      int port = s.server.peerPort();
-      assertTrue(s.get(port, "/v1/knowledge?v=2").startsWith("400"));
-      assertTrue(s.get(port, "/v1/knowledge?v=1&from=x").startsWith("400"));
-      assertTrue(s.get(port, "/v1/other").startsWith("404"));
-      String answer = s.get(port, "/v1/knowledge?v=1&new=field");
+  public void theFactServerKeepsToItsBudget() throws Exception {
+    try (Scenario scenario = experienced("w1")) {
+      int port = scenario.server.peerPort();
+      assertTrue(scenario.get(port, "/v1/knowledge?v=2").startsWith("400"));
+      assertTrue(scenario.get(port, "/v1/knowledge?v=1&from=x").startsWith("400"));
+      assertTrue(scenario.get(port, "/v1/other").startsWith("404"));
+      String answer = scenario.get(port, "/v1/knowledge?v=1&new=field");
       assertTrue(answer, answer.startsWith("200") && answer.contains("\"facts\":[["));
-      assertTrue(s.get(port, "/v1/knowledge?v=1&within_ms=0").contains("\"facts\":[]"));
+      assertTrue(scenario.get(port, "/v1/knowledge?v=1&within_ms=0").contains("\"facts\":[]"));
       for (int i = 0; !answer.startsWith("503"); i++) {
         assertTrue("never refused", i < 200);
-        answer = s.get(port, "/v1/knowledge?v=1");
+        answer = scenario.get(port, "/v1/knowledge?v=1");
       }
       assertTrue(answer, answer.matches("(?s)503 \\d+ .*"));
-      s.play("c-first send 90 date-lookup\nc-first expect [1,90");
+      scenario.play("c-first send 90 date-lookup\nc-first expect [1,90");
     }
   }
 
   /**
-   * A stand-in for a peer that goes wrong: what it writes once it was asked, and whether it then
-   * closes.
+   * Starts a faulty peer.
+   *
+   * @param answer what it sends after a request, with | for a line break; if it ends with
+   *     "endless", the peer goes on sending
+   * @param closes whether it closes the connection after the answer
+   * @param requests counted down with each request
    */
-  private static ServerSocket peer(String answer, boolean closes, CountDownLatch asked)
+  private static ServerSocket faultyPeer(String answer, boolean closes, CountDownLatch requests)
       throws IOException {
     ServerSocket listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
-    List<Socket> held = new ArrayList<>(); // one that nobody holds is closed with the garbage
-    Thread t =
+    // Without a reference, a socket would be closed by the garbage collector.
+    List<Socket> sockets = new ArrayList<>();
+    Thread thread =
         new Thread(
             () -> {
               try {
                 while (true) {
                   Socket socket = listener.accept();
-                  held.add(socket);
+                  sockets.add(socket);
                   socket.getInputStream().read();
-                  asked.countDown();
+                  requests.countDown();
                   OutputStream out = socket.getOutputStream();
                   out.write(answer.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
                   while (answer.endsWith("endless")) {
@@ -162,69 +170,75 @@
                   }
                 }
               } catch (IOException e) {
-                // the other side has had enough, or the test is over
+                // The client has closed the connection, or the test is over.
               }
             });
-    t.setDaemon(true);
-    t.start();
+    thread.setDaemon(true);
+    thread.start();
     return listener;
   }
 
-  /** Silent, slow, torn, endless, lying and of another form: the start goes on without them. */
+  /**
+   * Peers that are silent or slow, or that send truncated, endless or invalid answers or another
+   * version, must not delay the start.
+   */
   @Test
-  public void peersThatGoWrongDelayNobody() throws Exception {
+  public void faultyPeersDoNotDelayTheStart() throws Exception {
     String head = "HTTP/1.1 200 OK|Content-Length: 100000||";
-    CountDownLatch asked = new CountDownLatch(6);
+    CountDownLatch requests = new CountDownLatch(6);
     List<ServerSocket> peers =
         List.of(
-            peer("", false, asked),
-            peer(head + "{\"v\":1,", true, asked),
-            peer(head + "{\"v\":1,", false, asked),
-            peer("HTTP/1.1 200 OK|Transfer-Encoding: chunked||fffffff|endless", false, asked),
-            peer("HTTP/1.1 200 OK|Content-Length: 7||{\"v\":2}", false, asked),
-            peer("garbage||", true, asked));
-    try (Scenario s = Scenario.of("w1")) {
-      s.worker("w1").answersAll = true;
-      s.learn(peers.stream().map(p -> "127.0.0.1:" + p.getLocalPort()).toArray(String[]::new));
-      s.play("c1 send 1 date-lookup\nc1 expect [1,1,null");
-      assertEquals(0, s.server.counters().get(Count.FACTS_USED));
-      assertTrue("at least three were asked", asked.getCount() <= 3);
+            faultyPeer("", false, requests),
+            faultyPeer(head + "{\"v\":1,", true, requests),
+            faultyPeer(head + "{\"v\":1,", false, requests),
+            faultyPeer(
+                "HTTP/1.1 200 OK|Transfer-Encoding: chunked||fffffff|endless", false, requests),
+            faultyPeer("HTTP/1.1 200 OK|Content-Length: 7||{\"v\":2}", false, requests),
+            faultyPeer("garbage||", true, requests));
+    try (Scenario scenario = Scenario.of("w1")) {
+      scenario.worker("w1").answersAll = true;
+      scenario.learn(
+          peers.stream().map(p -> "127.0.0.1:" + p.getLocalPort()).toArray(String[]::new));
+      scenario.play("c1 send 1 date-lookup\nc1 expect [1,1,null");
+      assertEquals(0, scenario.server.counters().get(Count.FACTS_USED));
+      assertTrue("at least three were asked", requests.getCount() <= 3);
     } finally {
-      for (ServerSocket p : peers) {
-        p.close();
+      for (ServerSocket peer : peers) {
+        peer.close();
       }
     }
   }
 
   /**
-   * A peer that lies of workers nobody listed, of times to come and with nonsense is not believed.
+   * Facts about unlisted workers, from the future, with invalid numbers or too old must not be
+   * used.
    */
   @Test
-  public void aLyingPeerIsNotBelieved() throws Exception {
+  public void invalidFactsOfAPeerAreNotUsed() throws Exception {
     String page =
         "{\"v\":1,\"epoch\":\"e\",\"uptime_ms\":99999,\"next\":-1,\"facts\":[[0,\"no-such\",\"7\",5,\"o\",1,2,3,4],"
             + "[1,\"w1\",\"0\",-5,\"o\",1,0,0,0],[1,\"w1\",\"0\",5,\"o\",\"NaN\",0,0,0],[1,\"w1\",\"0\",99999999,\"o\",1,0,0,0]]}";
-    try (ServerSocket p =
-            peer(
+    try (ServerSocket peer =
+            faultyPeer(
                 "HTTP/1.1 200 OK|Content-Length: " + page.length() + "||" + page,
                 false,
                 new CountDownLatch(1));
-        Scenario s = Scenario.of("w1")) {
-      s.learn("127.0.0.1:" + p.getLocalPort());
-      assertEquals(1, s.server.counters().get(Count.PAGES_USED));
-      assertEquals(0, s.server.counters().get(Count.FACTS_USED));
+        Scenario scenario = Scenario.of("w1")) {
+      scenario.learn("127.0.0.1:" + peer.getLocalPort());
+      assertEquals(1, scenario.server.counters().get(Count.PAGES_USED));
+      assertEquals(0, scenario.server.counters().get(Count.FACTS_USED));
     }
   }
 
   /**
-   * From a shell: what an instance believes, where from, how old; a wrong address or command is
-   * said, not thrown.
+   * The command "knowledge" shows the facts of a front end with their origin and age. A wrong
+   * address or command ends with an exit status, not with an exception.
    */
   @Test
-  public void operatorsSeeWhatAnInstanceBelieves() throws Exception {
-    try (Scenario s = experienced("w1")) {
+  public void operatorsCanListTheFactsOfAFrontEnd() throws Exception {
+    try (Scenario scenario = experienced("w1")) {
       StringWriter out = new StringWriter();
-      assertEquals(0, command(out, "knowledge", peer(s.server), "--worker", "w1"));
+      assertEquals(0, command(out, "knowledge", factAddress(scenario.server), "--worker", "w1"));
       assertTrue(
           out.toString(),
           out.toString()
@@ -245,8 +259,8 @@
   }
 
   @Test
-  public void badSettingsAreRefusedByName() throws Exception {
-    for (Map.Entry<String, String> bad :
+  public void invalidSettingsAreRejectedByName() throws Exception {
+    for (Map.Entry<String, String> invalid :
         Map.of(
                 "{\"peers\":[]}",
                 "learning.listen",
@@ -259,8 +273,8 @@
             .entrySet()) {
       Path file =
           Files.writeString(
-              Files.createTempFile("operator", ".json"), "{\"learning\":" + bad.getKey() + "}");
-      String said =
+              Files.createTempFile("operator", ".json"), "{\"learning\":" + invalid.getKey() + "}");
+      String message =
           assertThrows(
                   InvalidConfig.class,
                   () ->
@@ -271,8 +285,8 @@
                               "UMBERRUN_OPERATOR",
                               file.toString())))
               .getMessage();
-      assertTrue(said, said.contains(bad.getValue()));
-      assertFalse(said, said.contains("\n"));
+      assertTrue(message, message.contains(invalid.getValue()));
+      assertFalse(message, message.contains("\n"));
     }
   }
 }
--- a/src/test/java/umberrun/SettingsScenariosTest.java
+++ b/src/test/java/umberrun/SettingsScenariosTest.java
@@ -46,30 +46,30 @@
   /** A call must not be sent again if its worker starts to drain and then dies. */
   @Test
   public void aNonIdempotentCallIsNotRetriedAfterADrain() throws Exception {
-    try (Scenario s = Scenario.with(SETTINGS, "w1")) {
-      s.play(CHARGE);
-      s.join("w2");
-      s.tell("w1", "terminating");
-      s.play(
+    try (Scenario scenario = Scenario.with(SETTINGS, "w1")) {
+      scenario.play(CHARGE);
+      scenario.join("w2");
+      scenario.tell("w1", "terminating");
+      scenario.play(
           "c2 send 2 charge acct=north budget=9000\nw2 expect RUN 2d42\nw2 send 200 - paid\nc2 expect [1,2,null paid");
-      s.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nw2 wait 1");
+      scenario.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nw2 wait 1");
     }
   }
 
   /** A call must not be sent again if its worker dies after the process was told to end. */
   @Test
   public void aNonIdempotentCallIsNotRetriedByAProcessThatEnds() throws Exception {
-    try (Scenario s = Scenario.with(SETTINGS, "w1")) {
-      s.play(CHARGE);
-      s.join("w2");
-      Thread leave = new Thread(s.server::leave);
-      leave.start();
-      while (s.server.isFit()) {
+    try (Scenario scenario = Scenario.with(SETTINGS, "w1")) {
+      scenario.play(CHARGE);
+      scenario.join("w2");
+      Thread shutdown = new Thread(scenario.server::leave);
+      shutdown.start();
+      while (scenario.server.isFit()) {
         Thread.onSpinWait();
       }
-      s.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nw2 wait 1");
-      leave.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
-      assertFalse(leave.isAlive());
+      scenario.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nw2 wait 1");
+      shutdown.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
+      assertFalse(shutdown.isAlive());
     }
   }
 
@@ -79,25 +79,25 @@
    */
   @Test
   public void aNonIdempotentCallIsNotRetriedByASuccessor() throws Exception {
-    try (Scenario s = Scenario.dailyWith(SETTINGS, folder.getRoot().toPath(), "w1")) {
-      s.play(CHARGE);
-      Server elder = s.succeed();
-      s.join("w2");
-      Thread leave = new Thread(elder::leave);
-      leave.start();
-      s.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nc1 expect close\nw2 wait 1");
-      leave.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
-      assertFalse(leave.isAlive());
+    try (Scenario scenario = Scenario.dailyWith(SETTINGS, folder.getRoot().toPath(), "w1")) {
+      scenario.play(CHARGE);
+      Server replaced = scenario.succeed();
+      scenario.join("w2");
+      Thread shutdown = new Thread(replaced::leave);
+      shutdown.start();
+      scenario.play("w1 send reset\nc1 expect [1,1,[\"Failed\"\nc1 expect close\nw2 wait 1");
+      shutdown.join(TimeUnit.SECONDS.toMillis(Scenario.PATIENCE_SECONDS));
+      assertFalse(shutdown.isAlive());
     }
   }
 
   /** A refused connection proves that the call did not run, so it goes to another worker. */
   @Test
   public void aNonIdempotentCallIsRetriedIfTheConnectionWasRefused() throws Exception {
-    try (Scenario s = Scenario.with(SETTINGS, "w1-down", "w2")) {
-      s.worker("w2").answersAll = true;
+    try (Scenario scenario = Scenario.with(SETTINGS, "w1-down", "w2")) {
+      scenario.worker("w2").answersAll = true;
       for (int i = 1; i <= 6; i++) {
-        s.play("c1 send " + i + " charge acct=coast\nc1 expect [1," + i + ",null");
+        scenario.play("c1 send " + i + " charge acct=coast\nc1 expect [1," + i + ",null");
       }
     }
   }
@@ -110,11 +110,12 @@
    */
   @Test
   public void aKeyedCallIsRepeatedInItsCellAlone() throws Exception {
-    try (Scenario s = Scenario.with(SETTINGS, "w1")) {
-      s.play("c1 send 1 order acct=north token=one budget=9000\nw1 expect RUN sort=order op=one");
-      s.join("w2-b");
-      s.join("w3");
-      s.play(
+    try (Scenario scenario = Scenario.with(SETTINGS, "w1")) {
+      scenario.play(
+          "c1 send 1 order acct=north token=one budget=9000\nw1 expect RUN sort=order op=one");
+      scenario.join("w2-b");
+      scenario.join("w3");
+      scenario.play(
           "w1 close\nw3 expect RUN 2d41 op=one\nw3 send 200 - taken\nc1 expect [1,1,null taken\nw2-b wait 1");
     }
   }
@@ -127,9 +128,9 @@
    */
   @Test
   public void loadIsTakenFromAnswersWithoutProbes() throws Exception {
-    try (Scenario s = Scenario.with(SETTINGS, "w1")) {
+    try (Scenario scenario = Scenario.with(SETTINGS, "w1")) {
       for (int i = 1; i <= 20; i++) {
-        s.play(
+        scenario.play(
             "c1 send "
                 + i
                 + " menu acct=north info=lanes:2\nw1 expect RUN\nw1 send 200 depth="
@@ -140,8 +141,8 @@
                 + i
                 + ",null soup");
       }
-      assertEquals(0, s.server.counters().get(Count.PROBES_SENT));
-      assertEquals(0, s.server.counters().get(Count.MODULE_FAULTS));
+      assertEquals(0, scenario.server.counters().get(Count.PROBES_SENT));
+      assertEquals(0, scenario.server.counters().get(Count.MODULE_FAULTS));
     }
   }
 
@@ -155,9 +156,9 @@
         SETTINGS
             .replace("\"Siblings\"", "\"Weather\":{\"Rain\":[1,null]},\"Siblings\"")
             .replace("\"Worth\":2", "\"Colour\":\"red\",\"Worth\":2");
-    try (Scenario s = Scenario.with(withUnknownFields, "w1")) {
-      s.worker("w1").answersAll = true;
-      s.play("c1 send 1 menu acct=coast\nc1 expect [1,1,null");
+    try (Scenario scenario = Scenario.with(withUnknownFields, "w1")) {
+      scenario.worker("w1").answersAll = true;
+      scenario.play("c1 send 1 menu acct=coast\nc1 expect [1,1,null");
     }
   }
 
@@ -167,14 +168,14 @@
    */
   @Test
   public void mostSettingsAreOptional() throws Exception {
-    try (Scenario s =
+    try (Scenario scenario =
         Scenario.with(
             "{\"Classes\":[{\"Name\":\"menu\",\"Aim\":800,\"GiveUp\":3000,\"Worth\":1,"
                 + "\"Idempotency\":\"idempotent\"}],\"Siblings\":1}",
             "w1")) {
-      s.play("c1 send 1 menu budget=9000\nw1 expect RUN 2d41");
-      s.join("w2");
-      s.play("w1 close\nw2 expect RUN 2d41\nw2 send 200 - soup\nc1 expect [1,1,null soup");
+      scenario.play("c1 send 1 menu budget=9000\nw1 expect RUN 2d41");
+      scenario.join("w2");
+      scenario.play("w1 close\nw2 expect RUN 2d41\nw2 send 200 - soup\nc1 expect [1,1,null soup");
     }
   }
 
--- a/src/test/java/umberrun/learning/FactStoreTest.java
+++ b/src/test/java/umberrun/learning/FactStoreTest.java
@@ -20,7 +20,7 @@
 import umberrun.learning.FactFilter.WorkerStatus;
 import umberrun.learning.FactPage.UnusablePage;
 
-/** How facts merge and age, and which of them may not be believed. */
+/** Tests how facts merge and age, which of them are rejected, and how they are sent. */
 public class FactStoreTest {
   private static final long SECOND = 1_000_000;
 
@@ -32,120 +32,125 @@
         seenAt);
   }
 
-  private static List<Fact> random(Random r, int n) {
+  /** Returns random facts of few subjects and times, so that they often conflict. */
+  private static List<Fact> randomFacts(Random random, int count) {
     List<Fact> facts = new ArrayList<>();
-    for (int i = 0; i < n; i++) { // few subjects and times, so that facts meet often
+    for (int i = 0; i < count; i++) {
       facts.add(
           new Fact(
-              new Subject(Kind.values()[r.nextInt(3)], "s" + r.nextInt(3), r.nextInt(2)),
-              new Value(r.nextInt(2), r.nextInt(2), 0, 0),
-              "o" + r.nextInt(3),
-              r.nextInt(4)));
+              new Subject(
+                  Kind.values()[random.nextInt(3)], "s" + random.nextInt(3), random.nextInt(2)),
+              new Value(random.nextInt(2), random.nextInt(2), 0, 0),
+              "o" + random.nextInt(3),
+              random.nextInt(4)));
     }
     return facts;
   }
 
   private static Set<Fact> merged(List<Fact> facts) {
-    FactStore k = new FactStore(1_000);
-    facts.forEach(k::merge);
-    return new HashSet<>(k.all());
+    FactStore store = new FactStore(1_000);
+    facts.forEach(store::merge);
+    return new HashSet<>(store.all());
   }
 
-  /**
-   * In whatever order, however often, and in whatever groups facts come, the same is known in the
-   * end.
-   */
+  /** The result must not depend on the order, the repetition or the grouping of the facts. */
   @Test
   public void mergingIsCommutativeAssociativeAndIdempotent() {
     for (int seed = 0; seed < 500; seed++) {
-      Random r = new Random(seed);
-      List<Fact> facts = random(r, 40);
+      Random random = new Random(seed);
+      List<Fact> facts = randomFacts(random, 40);
       Set<Fact> expected = merged(facts);
       List<Fact> shuffled = new ArrayList<>(facts);
       shuffled.addAll(facts.subList(0, 20));
-      Collections.shuffle(shuffled, r);
+      Collections.shuffle(shuffled, random);
       assertEquals("seed " + seed, expected, merged(shuffled));
-      List<Fact> groups = new ArrayList<>(merged(facts.subList(25, 40)));
-      groups.addAll(merged(facts.subList(0, 25)));
-      assertEquals("seed " + seed, expected, merged(groups));
+      List<Fact> mergedGroups = new ArrayList<>(merged(facts.subList(25, 40)));
+      mergedGroups.addAll(merged(facts.subList(0, 25)));
+      assertEquals("seed " + seed, expected, merged(mergedGroups));
     }
   }
 
   @Test
-  public void aFloodOfFactsIsBoundedAndTheOldestGo() {
-    FactStore k = new FactStore(100);
+  public void theNumberOfFactsIsBoundedAndTheOldestAreRemoved() {
+    FactStore store = new FactStore(100);
     for (int i = 0; i < 10_000; i++) {
-      k.merge(fact(Kind.COPY, "s" + i, i, "o"));
+      store.merge(fact(Kind.COPY, "s" + i, i, "o"));
     }
-    assertTrue(k.size() <= 100);
-    assertEquals(9_999, k.get(new Subject(Kind.COPY, "s9999", 7)).seenAt());
+    assertTrue(store.size() <= 100);
+    assertEquals(9_999, store.get(new Subject(Kind.COPY, "s9999", 7)).seenAt());
     assertFalse(
-        "nonsense is left out",
-        k.merge(
+        "a value that is not a number is rejected",
+        store.merge(
             new Fact(new Subject(Kind.WORKER, "s", 0), new Value(Double.NaN, 0, 0, 0), "o", 1)));
   }
 
   /**
-   * Nothing revives a worker that the own list or an operator took out, nor makes one that started
-   * anew look used.
+   * A fact must neither bring back a worker that the own list or an operator removed, nor make a
+   * worker that has restarted look warm.
    */
   @Test
-  public void theOwnListAndBansWin() {
-    FactFilter screen = new FactFilter(17 * SECOND, 30 * SECOND);
+  public void theOwnListAndSuspensionsTakePrecedence() {
+    FactFilter filter = new FactFilter(17 * SECOND, 30 * SECOND);
     long now = 100 * SECOND;
     Fact copy = fact(Kind.COPY, "s", now - SECOND, "o");
     Fact worker = fact(Kind.WORKER, "s", now - SECOND, "o");
-    assertTrue(screen.admits(copy, new WorkerStatus(WorkerState.READY, 0), now));
-    assertFalse("drained", screen.admits(copy, new WorkerStatus(WorkerState.DRAINING, 0), now));
-    assertFalse("gone", screen.admits(copy, new WorkerStatus(WorkerState.GONE, 0), now));
-    assertFalse("never listed", screen.admits(copy, null, now));
+    assertTrue(filter.admits(copy, new WorkerStatus(WorkerState.READY, 0), now));
+    assertFalse("drained", filter.admits(copy, new WorkerStatus(WorkerState.DRAINING, 0), now));
+    assertFalse("gone", filter.admits(copy, new WorkerStatus(WorkerState.GONE, 0), now));
+    assertFalse("never listed", filter.admits(copy, null, now));
     assertFalse(
-        "from before its start",
-        screen.admits(copy, new WorkerStatus(WorkerState.READY, now - SECOND / 2), now));
+        "from before its last start",
+        filter.admits(copy, new WorkerStatus(WorkerState.READY, now - SECOND / 2), now));
     assertTrue(
-        "from after it",
-        screen.admits(copy, new WorkerStatus(WorkerState.READY, now - 2 * SECOND), now));
+        "from after its last start",
+        filter.admits(copy, new WorkerStatus(WorkerState.READY, now - 2 * SECOND), now));
     assertFalse(
-        "cold by the list",
-        screen.admits(worker, new WorkerStatus(WorkerState.READY, now - 2 * SECOND), now));
-    assertTrue(screen.admits(worker, new WorkerStatus(WorkerState.READY, 0), now));
+        "cold according to the list",
+        filter.admits(worker, new WorkerStatus(WorkerState.READY, now - 2 * SECOND), now));
+    assertTrue(filter.admits(worker, new WorkerStatus(WorkerState.READY, 0), now));
     assertFalse(
         "too old",
-        screen.admits(
+        filter.admits(
             fact(Kind.COPY, "s", now - 31 * SECOND, "o"),
             new WorkerStatus(WorkerState.READY, 0),
             now));
   }
 
-  /** From a far-off prior the half-life that facts really have is found. */
+  /** The estimate must reach the real half-life even from a very different initial value. */
   @Test
-  public void halfLivesAreMeasured() {
-    for (long life : new long[] {2 * SECOND, 20 * SECOND}) {
-      FactHalfLife c =
+  public void halfLivesAreEstimated() {
+    for (long halfLife : new long[] {2 * SECOND, 20 * SECOND}) {
+      FactHalfLife estimator =
           new FactHalfLife(
               Map.of(Kind.COPY, 8 * SECOND, Kind.WORKER, SECOND, Kind.FUNCTION, SECOND));
-      Random r = new Random(life);
+      Random random = new Random(halfLife);
       for (int i = 0; i < 2_000; i++) {
-        long lasts = (long) (-Math.log(1 - r.nextDouble()) * life / Math.log(2));
-        long age = (long) (r.nextDouble() * life / 2);
-        c.record(Kind.COPY, age, lasts > age);
+        long validFor = (long) (-Math.log(1 - random.nextDouble()) * halfLife / Math.log(2));
+        long age = (long) (random.nextDouble() * halfLife / 2);
+        estimator.record(Kind.COPY, age, validFor > age);
       }
-      assertEquals(life, c.halfLife(Kind.COPY), 0.35 * life);
-      assertEquals(0.5, c.weight(Kind.COPY, c.halfLife(Kind.COPY)), 0.01);
+      assertEquals(halfLife, estimator.halfLife(Kind.COPY), 0.35 * halfLife);
+      assertEquals(0.5, estimator.weight(Kind.COPY, estimator.halfLife(Kind.COPY)), 0.01);
     }
   }
 
-  /** Ages travel, so that clocks apart by minutes mean nothing; what the exchange took is added. */
+  /**
+   * Pages contain ages, so that clocks that differ by minutes do no harm; the duration of the
+   * exchange is added.
+   */
   @Test
-  public void aPageKeepsAgesWhateverTheClocks() throws Exception {
-    long there = 900 * SECOND;
-    long here = 17 * SECOND;
+  public void aPageKeepsAgesIfClocksDiffer() throws Exception {
+    long senderNow = 900 * SECOND;
+    long receiverNow = 17 * SECOND;
     List<Fact> facts =
-        List.of(fact(Kind.COPY, "s", there - 3 * SECOND, "a"), fact(Kind.FUNCTION, "", there, "b"));
+        List.of(
+            fact(Kind.COPY, "s", senderNow - 3 * SECOND, "a"),
+            fact(Kind.FUNCTION, "", senderNow, "b"));
     FactPage page =
-        FactPage.read(FactPage.write("e", 5 * SECOND, facts, 0, 10_000, there), here, SECOND / 2);
+        FactPage.read(
+            FactPage.write("e", 5 * SECOND, facts, 0, 10_000, senderNow), receiverNow, SECOND / 2);
     assertEquals(
-        List.of(here - 3 * SECOND - SECOND / 2, here - SECOND / 2),
+        List.of(receiverNow - 3 * SECOND - SECOND / 2, receiverNow - SECOND / 2),
         page.facts().stream().map(Fact::seenAt).toList());
     assertEquals(
         facts.stream().map(Fact::subject).toList(),
@@ -179,33 +184,33 @@
   }
 
   /**
-   * Unknown fields and facts of unknown kinds are passed over; another form, nonsense and torn text
-   * are refused.
+   * Unknown fields and facts of unknown kinds are ignored; another version, fields of the wrong
+   * type and truncated text are rejected.
    */
   @Test
-  public void whatPeersSayIsCheckedBeforeUse() throws Exception {
-    String item = "[0,\"s\",\"7\",5,\"o\",1,2,3,4]";
+  public void pagesAreCheckedBeforeUse() throws Exception {
+    String validFact = "[0,\"s\",\"7\",5,\"o\",1,2,3,4]";
     FactPage page =
         FactPage.read(
             "{\"v\":1,\"epoch\":\"e\",\"uptime_ms\":1,\"next\":-1,\"new\":[1],\"facts\":["
-                + item
+                + validFact
                 + ",[9,\"s\",\"7\",5,\"o\",1,2,3,4],[0,\"s\",\"7\",-5,\"o\",1,2,3,4],[1],\"x\"]}",
             SECOND,
             0);
     assertEquals(1, page.facts().size());
-    for (String bad :
+    for (String invalid :
         List.of(
             "",
             "[]",
             "{}",
             "{\"v\":2}",
-            "{\"v\":1,\"epoch\":\"e\",\"facts\":[" + item,
+            "{\"v\":1,\"epoch\":\"e\",\"facts\":[" + validFact,
             "{\"v\":1,\"epoch\":\"e\",\"uptime_ms\":1,\"next\":-1,\"facts\":[[0,\"s\",\"zz\",5,\"o\",1,2,3,4]]}")) {
       try {
-        FactPage.read(bad, 0, 0);
-        fail(bad);
+        FactPage.read(invalid, 0, 0);
+        fail(invalid);
       } catch (UnusablePage expected) {
-        // it says why
+        // The page must be rejected.
       }
     }
   }
--- a/src/test/java/umberrun/learning/SimulatedFleet.java
+++ b/src/test/java/umberrun/learning/SimulatedFleet.java
@@ -14,28 +14,30 @@
 import saddlestall.Dispatcher.*;
 
 /**
- * A small emulator on a virtual clock: instances of the decision module and workers that load
- * functions when they are asked for, keep them while they are used, and have room for some. One
- * seed, one course of things.
+ * A small simulation of a fleet on a virtual clock: several dispatchers, one for each front end,
+ * and workers that load functions on demand, keep them while they are used, and hold a limited
+ * number of them. It is deterministic for a given seed. All times are in microseconds.
  */
 final class SimulatedFleet {
   static final long MS = 1_000;
   static final long SECOND = 1_000_000;
   private static final int FUNCTIONS = 60;
-  private static final int ROOM = 24;
-  private static final long KEEP = 9 * SECOND;
-  private static final long LOAD = 1_200 * MS;
-  private static final long WORK = 60 * MS;
-  private static final double CALLS_A_SECOND = 60;
-  private static final long PATIENCE = 4 * SECOND;
-  private static final int ROUND_TRIP = 1_000;
-
-  private record Step(long at, long order, Runnable what) {}
-
-  /** A worker: its copies by when each stands, and when each was last used. */
+  private static final int COPIES_PER_WORKER = 24;
+  private static final long KEEP_MICROS = 9 * SECOND;
+  private static final long LOAD_MICROS = 1_200 * MS;
+  private static final long WORK_MICROS = 60 * MS;
+  private static final double CALLS_PER_SECOND = 60;
+  private static final long CALL_BUDGET_MICROS = 4 * SECOND;
+  private static final int ROUND_TRIP_MICROS = 1_000;
+  private static final long AIM_MICROS = 400 * MS;
+
+  /** An action at a time; the order of insertion decides between steps of the same time. */
+  private record Step(long at, long order, Runnable action) {}
+
+  /** A worker: by function, when its copy is or will be loaded, and when it was last used. */
   private static final class Worker {
-    private final Map<Long, Long> standsAt = new HashMap<>();
-    private final Map<Long, Long> usedAt = new HashMap<>();
+    private final Map<Long, Long> loadedAt = new HashMap<>();
+    private final Map<Long, Long> lastUsedAt = new HashMap<>();
   }
 
   private final PriorityQueue<Step> steps =
@@ -44,61 +46,67 @@
   private final Random random;
   private final Settings settings;
   private final Worker[] workers;
-  private final AdaptiveDispatcher[] instances;
+  private final AdaptiveDispatcher[] dispatchers;
   private final Map<Integer, Long> functionOf = new HashMap<>();
   private final Map<Integer, Integer> attempts = new HashMap<>();
   private long order;
   private int calls;
+
+  /** The current virtual time. */
   long now = 100 * SECOND;
 
-  /** Of the calls taken by the instance that is watched: all, and those that met no loaded copy. */
+  /** The front end whose calls are counted, -1 for none. */
   int watched = -1;
 
+  /** Number of calls of the watched front end. */
   int taken;
+
+  /** Number of sends of the watched front end to a worker without a loaded copy. */
   int metLoad;
 
-  /**
-   * Workers that say nothing, and how many sends they have met; those that take so many times as
-   * long.
-   */
+  /** Workers that do not answer. */
   final Set<Integer> silent = new HashSet<>();
 
+  /** Number of sends to silent workers. */
   int metSilent;
+
+  /** By worker, the factor by which it is slower than the others. */
   final Map<Integer, Double> slow = new HashMap<>();
 
-  /** Calls that had their answer within the aim, and all that are over. */
+  /** Number of calls that were answered within the aim. */
   int timely;
 
+  /** Number of calls that have ended. */
   int over;
 
-  /** By instance, when it benched a worker last, in its own words. */
+  /** By front end, when it first logged that it benched the watched worker. */
   final Map<Integer, Long> benchedAt = new HashMap<>();
 
-  /** When an instance was first served by the worker that is watched, since this was cleared. */
+  /** By front end, when the watched worker first served it since this map was cleared. */
   final Map<Integer, Long> servedBy = new HashMap<>();
 
+  /** The worker for {@link #benchedAt} and {@link #servedBy}, -1 for none. */
   int watchedWorker = -1;
-  private final double callsASecond;
-  private final Map<Integer, Long> begunAt = new HashMap<>();
 
-  /**
-   * A worker that answers every call with an error, and how many calls of the watched instance met
-   * it.
-   */
+  private final double callsPerSecond;
+  private final Map<Integer, Long> startedAt = new HashMap<>();
+
+  /** The worker that answers every call with an error, -1 for none. */
   int failing = -1;
 
+  /** Number of sends of the watched front end to the failing worker. */
   int metError;
 
   SimulatedFleet(long seed, int instanceCount, int workerCount) {
-    this(seed, instanceCount, workerCount, CALLS_A_SECOND);
+    this(seed, instanceCount, workerCount, CALLS_PER_SECOND);
   }
 
-  SimulatedFleet(long seed, int instanceCount, int workerCount, double callsASecond) {
-    this.callsASecond = callsASecond;
+  SimulatedFleet(long seed, int instanceCount, int workerCount, double callsPerSecond) {
+    this.callsPerSecond = callsPerSecond;
     random = new Random(seed);
     CallClass kind =
         new CallClass(
-            400 * MS, 0, 4 * SECOND, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false);
+            AIM_MICROS, 0, 4 * SECOND, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false);
     settings =
         new Settings(
             0,
@@ -113,59 +121,59 @@
             List.of(),
             new Limits(true, true, true, false, true, SECOND, 6, 250 * MS),
             new Rules(16 * MS, 10 * SECOND, SECOND, 17 * SECOND, 0.18, SECOND, 2),
-            new LoadPolicy(true, true, 5 * SECOND, 4, 0.15, KEEP, true, true, 0.05),
+            new LoadPolicy(true, true, 5 * SECOND, 4, 0.15, KEEP_MICROS, true, true, 0.05),
             new LoadReportFormat(ReportDelivery.PROBES, List.of()),
             new Costs(0.02, 0.02, 0.16, 0.05, 0.027, 0));
     workers = new Worker[workerCount];
     for (int i = 0; i < workerCount; i++) {
       workers[i] = new Worker();
     }
-    instances = new AdaptiveDispatcher[instanceCount];
+    dispatchers = new AdaptiveDispatcher[instanceCount];
     for (int i = 0; i < instanceCount; i++) {
       start(i);
       arrive(i);
     }
   }
 
-  /** An instance starts, or starts anew with nothing but the list of workers. */
+  /** Starts or restarts a front end, which knows nothing but the worker list. */
   void start(int instance) {
-    List<WorkerEntry> members = new ArrayList<>();
+    List<WorkerEntry> workerList = new ArrayList<>();
     for (int w = 0; w < workers.length; w++) {
-      members.add(new WorkerEntry(w * 0x9E3779B1, w % 3, 0, 0, WorkerState.READY, 1, 0));
+      workerList.add(new WorkerEntry(w * 0x9E3779B1, w % 3, 0, 0, WorkerState.READY, 1, 0));
     }
     AdaptiveDispatcher[] self = new AdaptiveDispatcher[1];
     Consumer<Action> out = a -> act(instance, self[0], a);
     List<Action> first = new ArrayList<>();
     self[0] = new AdaptiveDispatcher(settings, random.nextLong(), now, first::add);
-    instances[instance] = self[0];
+    dispatchers[instance] = self[0];
     first.forEach(out);
-    self[0].handle(now, new WorkerListUpdate(ListKind.FULL, members), out);
+    self[0].handle(now, new WorkerListUpdate(ListKind.FULL, workerList), out);
   }
 
-  /** Tells each instance how many there are. */
-  void siblings(double count) {
-    for (int i = 0; i < instances.length; i++) {
-      tell(i, instances[i], new FleetSizeUpdate(count, count));
+  /** Tells each front end how many front ends there are. */
+  void setFleetSize(double count) {
+    for (int i = 0; i < dispatchers.length; i++) {
+      handle(i, dispatchers[i], new FleetSizeUpdate(count, count));
     }
   }
 
-  /** One instance learns what another saw, {@code age} ago. */
-  void learn(int instance, int from, long age, FactHalfLife calibration) {
-    AdaptiveDispatcher module = instances[instance];
-    instances[from].exportObservations(
+  /** Sends the observations of one front end to another; they arrive {@code age} old. */
+  void learn(int instance, int from, long age, FactHalfLife halfLives) {
+    AdaptiveDispatcher dispatcher = dispatchers[instance];
+    dispatchers[from].exportObservations(
         now,
-        k -> {
-          if (k instanceof CopyObservation c) {
-            module.handle(
+        observation -> {
+          if (observation instanceof CopyObservation c) {
+            dispatcher.handle(
                 now,
                 new CopyObservation(
                     c.worker(),
                     c.function(),
                     c.age() + age,
-                    calibration.weight(Fact.Kind.COPY, c.age() + age)),
-                a -> act(instance, module, a));
-          } else if (k instanceof FunctionObservation f) {
-            module.handle(
+                    halfLives.weight(Fact.Kind.COPY, c.age() + age)),
+                a -> act(instance, dispatcher, a));
+          } else if (observation instanceof FunctionObservation f) {
+            dispatcher.handle(
                 now,
                 new FunctionObservation(
                     f.function(),
@@ -174,124 +182,149 @@
                     f.loadTime(),
                     f.recentCalls(),
                     f.age() + age,
-                    calibration.weight(Fact.Kind.FUNCTION, f.age() + age)),
-                a -> act(instance, module, a));
-          } else if (k instanceof WorkerObservation w) {
-            module.handle(
+                    halfLives.weight(Fact.Kind.FUNCTION, f.age() + age)),
+                a -> act(instance, dispatcher, a));
+          } else if (observation instanceof WorkerObservation w) {
+            dispatcher.handle(
                 now,
                 new WorkerObservation(
                     w.worker(),
                     w.latencyRatio(),
                     w.failureRate(),
                     age,
-                    calibration.weight(Fact.Kind.WORKER, age)),
-                a -> act(instance, module, a));
+                    halfLives.weight(Fact.Kind.WORKER, age)),
+                a -> act(instance, dispatcher, a));
           }
         });
   }
 
-  private void at(long when, Runnable what) {
-    steps.add(new Step(when, order++, what));
+  private void at(long when, Runnable action) {
+    steps.add(new Step(when, order++, action));
   }
 
-  void run(long span) {
-    long end = now + span;
+  /** Runs the simulation for {@code duration}. */
+  void run(long duration) {
+    long end = now + duration;
     while (!steps.isEmpty() && steps.peek().at <= end) {
-      Step s = steps.poll();
-      now = s.at;
-      s.what.run();
+      Step step = steps.poll();
+      now = step.at;
+      step.action.run();
     }
     now = end;
   }
 
+  /** Schedules the next call to a front end, after an exponentially distributed time. */
   private void arrive(int instance) {
     at(
         now
             + (long)
-                (-Math.log(1 - random.nextDouble()) * SECOND / callsASecond * instances.length),
+                (-Math.log(1 - random.nextDouble()) * SECOND / callsPerSecond * dispatchers.length),
         () -> {
           long function = 1 + (long) (FUNCTIONS * random.nextDouble() * random.nextDouble());
-          AdaptiveDispatcher module = instances[instance];
+          AdaptiveDispatcher dispatcher = dispatchers[instance];
           taken += instance == watched ? 1 : 0;
           functionOf.put(calls, function);
-          begunAt.put(calls, now);
-          module.handle(
+          startedAt.put(calls, now);
+          dispatcher.handle(
               now,
-              new CallArrival(calls++, PATIENCE, 0, function, 4, 512, 0, 0, false, false, LOAD),
-              a -> act(instance, module, a));
+              new CallArrival(
+                  calls++,
+                  CALL_BUDGET_MICROS,
+                  0,
+                  function,
+                  4,
+                  512,
+                  0,
+                  0,
+                  false,
+                  false,
+                  LOAD_MICROS),
+              a -> act(instance, dispatcher, a));
           arrive(instance);
         });
   }
 
-  private void act(int instance, AdaptiveDispatcher module, Action action) {
-    if (module != instances[instance]) { // of a life that is over
+  /** Carries out an action of a dispatcher. */
+  private void act(int instance, AdaptiveDispatcher dispatcher, Action action) {
+    // A dispatcher that was replaced by a restart has no effect any more.
+    if (dispatcher != dispatchers[instance]) {
       return;
     }
-    if (action instanceof StartTimer t) {
-      at(now + Math.max(1, t.delay()), () -> tell(instance, module, new TimerFired(t.token())));
-    } else if (action instanceof Log l
-        && l.text().startsWith("worker ")
-        && l.text().contains("benched")) {
+    if (action instanceof StartTimer timer) {
+      at(
+          now + Math.max(1, timer.delay()),
+          () -> handle(instance, dispatcher, new TimerFired(timer.token())));
+    } else if (action instanceof Log log
+        && log.text().startsWith("worker ")
+        && log.text().contains("benched")) {
       if (watchedWorker >= 0
-          && l.text().startsWith("worker " + (id(watchedWorker) & 0xffffffffL) + " ")) {
+          && log.text().startsWith("worker " + (id(watchedWorker) & 0xffffffffL) + " ")) {
         benchedAt.putIfAbsent(instance, now);
       }
-    } else if (action instanceof Refuse r) {
-      over += begunAt.remove(r.call()) == null ? 0 : 1;
-    } else if (action instanceof Fail f) {
-      over += begunAt.remove(f.call()) == null ? 0 : 1;
-    } else if (action instanceof Send s) {
-      run(instance, module, s);
-    } else if (action instanceof Preload h) {
-      long stands = stand(worker(h.worker()), h.function());
+    } else if (action instanceof Refuse refuse) {
+      over += startedAt.remove(refuse.call()) == null ? 0 : 1;
+    } else if (action instanceof Fail fail) {
+      over += startedAt.remove(fail.call()) == null ? 0 : 1;
+    } else if (action instanceof Send send) {
+      execute(instance, dispatcher, send);
+    } else if (action instanceof Preload preload) {
+      long loadedAt = load(worker(preload.worker()), preload.function());
       at(
-          Math.max(now + MS, stands),
+          Math.max(now + MS, loadedAt),
           () ->
-              tell(
+              handle(
                   instance,
-                  module,
-                  new PreloadResult(0, 1, h.worker(), OutcomeCode.OK, h.function())));
+                  dispatcher,
+                  new PreloadResult(0, 1, preload.worker(), OutcomeCode.OK, preload.function())));
     }
   }
 
-  private void tell(int instance, AdaptiveDispatcher module, Event event) {
-    if (module == instances[instance]) {
-      module.handle(now, event, a -> act(instance, module, a));
+  /** Passes an event to a dispatcher, unless it was replaced by a restart. */
+  private void handle(int instance, AdaptiveDispatcher dispatcher, Event event) {
+    if (dispatcher == dispatchers[instance]) {
+      dispatcher.handle(now, event, a -> act(instance, dispatcher, a));
     }
   }
 
+  /** Returns the identifier that the dispatchers use for a worker. */
   private static int id(int worker) {
     return worker * 0x9E3779B1;
   }
 
   /**
-   * Asks a worker, for a front end that probes; {@code then} is told whether it answered, and after
-   * how long.
+   * Probes a worker.
+   *
+   * @param listener receives whether the worker answered, and the duration of the probe
    */
-  void ask(int worker, BiConsumer<Boolean, Long> then) {
-    long asked = now;
+  void probe(int worker, BiConsumer<Boolean, Long> listener) {
+    long sentAt = now;
     boolean answers = !silent.contains(worker);
-    long took =
+    long duration =
         answers
-            ? (long) (ROUND_TRIP * slow.getOrDefault(worker, 1.0) * (5 + random.nextDouble()))
+            ? (long)
+                (ROUND_TRIP_MICROS * slow.getOrDefault(worker, 1.0) * (5 + random.nextDouble()))
             : 500 * MS;
-    at(now + took, () -> then.accept(answers, now - asked));
+    at(now + duration, () -> listener.accept(answers, now - sentAt));
   }
 
-  /** Does something later. */
-  void after(long span, Runnable what) {
-    at(now + span, what);
+  /** Runs an action after a delay. */
+  void after(long delay, Runnable action) {
+    at(now + delay, action);
   }
 
-  /** All instances but those cut off hear what one found. */
-  void hear(int worker, double pace, double bad, long seenAt, double weight) {
-    for (int i = 0; i < instances.length; i++) {
-      int to = i;
-      AdaptiveDispatcher module = instances[i];
+  /** Sends an observation of a worker to all front ends. */
+  void broadcast(int worker, double latencyRatio, double failureRate, long seenAt, double weight) {
+    for (int i = 0; i < dispatchers.length; i++) {
+      int instance = i;
+      AdaptiveDispatcher dispatcher = dispatchers[i];
       at(
-          now + ROUND_TRIP,
+          now + ROUND_TRIP_MICROS,
           () ->
-              tell(to, module, new WorkerObservation(id(worker), pace, bad, now - seenAt, weight)));
+              handle(
+                  instance,
+                  dispatcher,
+                  new WorkerObservation(
+                      id(worker), latencyRatio, failureRate, now - seenAt, weight)));
     }
   }
 
@@ -304,102 +337,118 @@
     throw new AssertionError("no such worker");
   }
 
-  private void run(int instance, AdaptiveDispatcher module, Send s) {
-    Worker w = worker(s.worker());
-    int attempt = attempts.merge(s.call(), 1, Integer::sum) - 1;
-    if (failing >= 0 && w == workers[failing]) {
+  /** Lets a worker execute an attempt. */
+  private void execute(int instance, AdaptiveDispatcher dispatcher, Send send) {
+    Worker worker = worker(send.worker());
+    int attempt = attempts.merge(send.call(), 1, Integer::sum) - 1;
+    if (failing >= 0 && worker == workers[failing]) {
       metError += instance == watched ? 1 : 0;
       at(
-          now + WORK,
+          now + WORK_MICROS,
           () ->
-              tell(
+              handle(
                   instance,
-                  module,
+                  dispatcher,
                   new AttemptOutcome(
-                      s.call(),
+                      send.call(),
                       attempt,
-                      s.worker(),
+                      send.worker(),
                       OutcomeCode.ERROR,
-                      WORK,
+                      WORK_MICROS,
                       false,
                       CopyStatus.NONE,
                       -1,
                       null)));
       return;
     }
-    int number = List.of(workers).indexOf(w);
-    if (silent.contains(number)) {
+    int workerIndex = List.of(workers).indexOf(worker);
+    if (silent.contains(workerIndex)) {
       metSilent++;
-      long left = begunAt.getOrDefault(s.call(), now) + PATIENCE - now;
-      long wait = s.timeout() == 0 ? left : Math.min(left, s.timeout());
+      long remaining = startedAt.getOrDefault(send.call(), now) + CALL_BUDGET_MICROS - now;
+      long timeout = send.timeout() == 0 ? remaining : Math.min(remaining, send.timeout());
       at(
-          now + Math.max(1, wait),
+          now + Math.max(1, timeout),
           () -> {
-            boolean ends = wait == left && begunAt.remove(s.call()) != null;
-            over += ends ? 1 : 0;
-            tell(
+            boolean callEnds = timeout == remaining && startedAt.remove(send.call()) != null;
+            over += callEnds ? 1 : 0;
+            handle(
                 instance,
-                module,
+                dispatcher,
                 new AttemptOutcome(
-                    s.call(),
+                    send.call(),
                     attempt,
-                    s.worker(),
+                    send.worker(),
                     OutcomeCode.TIMEOUT,
-                    wait,
-                    ends || !begunAt.containsKey(s.call()),
+                    timeout,
+                    callEnds || !startedAt.containsKey(send.call()),
                     CopyStatus.NONE,
                     -1,
                     null));
           });
       return;
     }
-    long function = functionOf.get(s.call());
-    boolean stood = stands(w, function);
-    boolean loading = !stood && w.standsAt.getOrDefault(function, 0L) > now;
-    long took =
-        Math.max(0, stand(w, function) - now)
-            + (long) (slow.getOrDefault(number, 1.0) * (WORK / 2 + random.nextDouble() * WORK));
-    metLoad += instance == watched && !stood ? 1 : 0;
-    CopyStatus note =
-        stood ? CopyStatus.WARM : loading ? CopyStatus.JOINED_LOAD : CopyStatus.BEGAN_LOAD;
+    long function = functionOf.get(send.call());
+    boolean loaded = isLoaded(worker, function);
+    boolean loading = !loaded && worker.loadedAt.getOrDefault(function, 0L) > now;
+    long duration =
+        Math.max(0, load(worker, function) - now)
+            + (long)
+                (slow.getOrDefault(workerIndex, 1.0)
+                    * (WORK_MICROS / 2 + random.nextDouble() * WORK_MICROS));
+    metLoad += instance == watched && !loaded ? 1 : 0;
+    CopyStatus copyStatus =
+        loaded ? CopyStatus.WARM : loading ? CopyStatus.JOINED_LOAD : CopyStatus.BEGAN_LOAD;
     at(
-        now + took,
+        now + duration,
         () -> {
-          Long begun = begunAt.remove(s.call());
-          over += begun == null ? 0 : 1;
-          timely += begun != null && now - begun <= 400 * MS ? 1 : 0;
-          if (number == watchedWorker) {
+          Long callStartedAt = startedAt.remove(send.call());
+          over += callStartedAt == null ? 0 : 1;
+          timely += callStartedAt != null && now - callStartedAt <= AIM_MICROS ? 1 : 0;
+          if (workerIndex == watchedWorker) {
             servedBy.putIfAbsent(instance, now);
           }
-          tell(
+          handle(
               instance,
-              module,
+              dispatcher,
               new AttemptOutcome(
-                  s.call(), attempt, s.worker(), OutcomeCode.OK, took, true, note, 1, null));
+                  send.call(),
+                  attempt,
+                  send.worker(),
+                  OutcomeCode.OK,
+                  duration,
+                  true,
+                  copyStatus,
+                  1,
+                  null));
         });
   }
 
-  private boolean stands(Worker w, long function) {
-    return w.standsAt.getOrDefault(function, Long.MAX_VALUE) <= now
-        && now - w.usedAt.get(function) < KEEP;
+  /** Whether a worker has a loaded copy of a function that has not expired. */
+  private boolean isLoaded(Worker worker, long function) {
+    return worker.loadedAt.getOrDefault(function, Long.MAX_VALUE) <= now
+        && now - worker.lastUsedAt.get(function) < KEEP_MICROS;
   }
 
   /**
-   * When the function stands at the worker, which loads it now if it must, in the place of the one
-   * idle for longest.
+   * Loads a function at a worker unless there is a copy, replacing the copy that has been idle for
+   * longest if the worker is full. Returns when the copy is loaded.
    */
-  private long stand(Worker w, long function) {
-    w.standsAt.keySet().removeIf(f -> w.standsAt.get(f) <= now && now - w.usedAt.get(f) >= KEEP);
-    if (!w.standsAt.containsKey(function)) {
-      if (w.standsAt.size() >= ROOM) {
-        w.standsAt.remove(
-            w.standsAt.keySet().stream()
-                .min((a, b) -> Long.compare(w.usedAt.get(a), w.usedAt.get(b)))
+  private long load(Worker worker, long function) {
+    worker
+        .loadedAt
+        .keySet()
+        .removeIf(
+            f -> worker.loadedAt.get(f) <= now && now - worker.lastUsedAt.get(f) >= KEEP_MICROS);
+    if (!worker.loadedAt.containsKey(function)) {
+      if (worker.loadedAt.size() >= COPIES_PER_WORKER) {
+        worker.loadedAt.remove(
+            worker.loadedAt.keySet().stream()
+                .min((a, b) -> Long.compare(worker.lastUsedAt.get(a), worker.lastUsedAt.get(b)))
                 .orElseThrow());
       }
-      w.standsAt.put(function, now + LOAD);
+      worker.loadedAt.put(function, now + LOAD_MICROS);
     }
-    w.usedAt.put(function, Math.max(now, w.standsAt.get(function)));
-    return w.standsAt.get(function);
+    worker.lastUsedAt.put(function, Math.max(now, worker.loadedAt.get(function)));
+    return worker.loadedAt.get(function);
   }
 }
