--- a/src/test/java/umberrun/worker/WorkerPoolTest.java
+++ b/src/test/java/umberrun/worker/WorkerPoolTest.java
@@ -180,6 +180,7 @@
   private static final class Fleet implements AutoCloseable {
     private final Vertx vertx = Vertx.vertx();
     private final Context context = vertx.getOrCreateContext();
+
     /** One permit for each piece of data that arrived at a worker. */
     final Semaphore arrived = new Semaphore(0);
 
