--- a/src/main/java/saddlestall/AdaptiveDispatcher.java
+++ b/src/main/java/saddlestall/AdaptiveDispatcher.java
@@ -9,120 +9,227 @@
 import java.util.function.Consumer;
 
 /**
- * Every decision of one front end. The interface is Dispatcher.java; DispatcherState.java,
- * Maths.java decide nothing.
+ * Decides for one front end which calls to admit, which worker each attempt goes to, when to retry
+ * or hedge, and which functions to preload.
  *
- * <p>One learned linear score rates every worker for a call, a softmax draws one, and the weights
- * step online by time in flight, clipped as in PPO (docs/design.md). Times are in microseconds.
+ * <p>A learned linear score rates every eligible worker for a call, and a softmax over the scores
+ * samples one. The weights are updated online, with latency as the negative reward and clipped
+ * updates as in PPO. Times are in microseconds. Single-threaded; see {@link Dispatcher} for the
+ * contract with the embedding front end.
  */
 public final class AdaptiveDispatcher extends DispatcherState implements Dispatcher {
 
   // ---------------------------------------------------------------- constants
 
-  private static final long MS = 1_000;
+  private static final long MILLISECOND = 1_000;
   private static final long SECOND = 1_000_000;
-  private static final long TICK = 50 * MS;
-
-  // Features of the score, and the weights that they start with.
-  private static final int WARM = 0; // belief that a copy stands loaded with a free lane
-  private static final int LOAD = 1; // expected wait for a load, over the time that is left
-  private static final int OWN = 2; // own calls in flight for its size, against its peers
-  private static final int PLAN =
-      3; // load that the homes of all functions bring it, against its peers
-  private static final int PACE = 4; // time in flight for the work, against its peers
-  private static final int CROWD = 5; // calls beyond the lanes of its copy
-  private static final int HOME = 6; // place in the function's home order
-  private static final int HALL = 7; // in this front end's hall
-  private static final int DOUBT = 8; // suspicion of its health
-  private static final int FEATURES = 9;
-  private static final double[] START = {5, -4, -4, -3, -5, -3, 4, 0.4, -6};
-
-  // Learning.
-  private static final int BATCH = 32;
+  private static final long TICK_MICROS = 50 * MILLISECOND;
+
+  /** Token of the periodic tick timer. */
+  private static final long TICK_TOKEN = -1;
+
+  /** Token of the timer after which a failed subscription to the worker list is repeated. */
+  private static final long SUBSCRIBE_TOKEN = -2;
+
+  // ---------------------------------------------------------------- features of the score
+
+  /** Probability that a loaded copy with a free lane exists at the worker. */
+  private static final int WARM_COPY = 0;
+
+  /** Expected wait for a load, relative to the time left. */
+  private static final int LOAD_WAIT = 1;
+
+  /** Own calls in flight relative to the worker's size, compared with the other workers. */
+  private static final int OWN_LOAD = 2;
+
+  /** Load from all functions that have the worker as a home, compared with the other workers. */
+  private static final int PLANNED_LOAD = 3;
+
+  /** Observed over expected latency, compared with the other workers. */
+  private static final int LATENCY_RATIO = 4;
+
+  /** Calls in excess of the lanes of the function's copy. */
+  private static final int CONCURRENCY = 5;
+
+  /** Position in the function's home order. */
+  private static final int HOME_RANK = 6;
+
+  /** Whether the worker is in this front end's hall. */
+  private static final int OWN_HALL = 7;
+
+  /** Running failure rate. */
+  private static final int FAILURE_RATE = 8;
+
+  private static final int FEATURE_COUNT = 9;
+  private static final double[] INITIAL_WEIGHTS = {5, -4, -4, -3, -5, -3, 4, 0.4, -6};
+
+  // ---------------------------------------------------------------- policy updates
+
+  private static final int BATCH_SIZE = 32;
   private static final int EPOCHS = 3;
-  private static final double CLIP = 0.2;
-  private static final double STEP = 0.1;
-  private static final double PULL = 0.01; // share of the way back to the start, each batch
-  private static final double REACH =
-      0.5; // most that a weight strays: this share of its start, plus this
-  private static final double SPREAD = 0.1; // of payoffs about the critic's, before any is seen
-  private static final double CRITIC_STEP = 0.02;
-
-  // Beliefs.
-  private static final double SLOW_MEAN = 0.05; // step of means over a function or a class
-  private static final double FAST_MEAN = 0.15; // step of means over a worker
-  private static final double RATE_SPAN = 5; // seconds over which rates are taken, at the least
-  private static final double MIX_SPAN = 20; // and at the most, where a front end takes few calls
-  private static final double MIX_CALLS = 100; // calls that show the mix of functions well enough
-  private static final double MIX_PRIOR =
-      20; // calls of functions not seen that the mix starts from
-  private static final double QUOTA_USED =
-      0.7; // share of all tenants' quotas that is usually asked for
-  private static final double QUOTA_CALLS = 20; // own calls that weigh as much as that
-  private static final double PACE_CALLS = 20; // own calls in whose time a pace is forgotten
-  private static final double PACE_SCALE =
-      1.4; // log of the slowness, against the mean, that counts in full
-  private static final double RUMOUR = 0.8; // most belief in a copy that was not seen
-  private static final double SURE =
-      0.97; // belief in a copy seen within the time that idle copies stay
-  private static final long KEEP = 10 * SECOND; // how long idle copies stay, where it is not told
-  private static final long FORGET = 60 * SECOND; // a function unused for this long is forgotten
-  private static final double HOME_FILL = 0.8; // share of its lanes that a home is meant to use
-  private static final double HOME_PART =
-      0.6; // of a worker's mean load, the most of one function for a home
-
-  private static final double ORDER_CALLS =
-      8; // recent calls of all front ends that are worth an order
-  private static final double ORDERS_EACH = 4; // by all front ends, where each has a call
-  private static final double SLOW_LOAD =
-      2; // a load over so many times its time shows a crowded store
-  private static final double LOADS_EACH =
-      2; // own loads at once, for a front end's share of the workers
-
-  // Health.
-  private static final double BAD_STEP = 0.2; // step of a worker's share of bad outcomes
-  private static final double BAD_LIMIT =
-      0.8; // share above that of the better workers that benches it
-  private static final double OVERDUE =
-      3; // an attempt is overdue after so many times its expected time
-  private static final double COMMON = 0.75; // more of the workers bad than this: a common cause
-  private static final double COMMON_AWAY =
-      0.5; // more of them turn all away: they are short of room
-  private static final double DEAD_STEP = 0.5; // the same where no connection came up
-  private static final long HALL_SPAN =
-      SECOND; // over which the workers of a hall are looked at together
-  private static final int HALL_FAILS = 3; // silent or unreachable workers that bench a whole hall
-  private static final long FULL_WAIT_MOST = 2 * SECOND;
-  private static final int AWAY_SIGNS =
-      5; // calls turned away one after the other that may mean a drain
-  private static final long AWAY_SPAN = 2 * SECOND; // over which they come, at the least
-  private static final long AWAY_WAIT_MOST = 8 * SECOND;
-  private static final double FULL_PRESSURE =
-      2; // what being turned away counts as, in time over aim
-  private static final long TRIAL_WAIT_MOST = 8 * SECOND;
-
-  // Further attempts, cold workers, admission.
-  private static final double RETRY_SHARE = 0.2; // further attempts for each call taken
-  private static final double RETRY_BURST = 5;
-  private static final double HELD_PART =
-      0.45; // of its time, the most that a call waits for its first send
-  private static final double HEDGE_AIM =
-      0.4; // of the aim, the least time after which a second copy is sent
-  private static final double COLD_MARGIN =
-      0.5; // part of the cold budget used: workers differ in size
-  private static final double PRESSURE_FADE =
-      0.95; // each tick: old pressure is no reason to refuse
-  private static final double PRESSURE_AIM =
-      0.75; // mean time in flight, of its aim, that shedding holds to
-  private static final double PRESSURE_CALLS =
-      4; // calls in good time that pressure is shrunk towards
-  private static final double PRESSURE_USUAL = 0.3; // time over aim of such a call
-  private static final double LITTLE_MOST = 2; // times what answers show, for calls in flight
-  private static final double SHED_GAIN = 0.05; // each tick, of what the pressure is over its bound
-  private static final double SHED_RISE = 0.025; // and at most
-  private static final double SHED_FALL = 0.03; // each tick with the pressure within its bound
-  private static final double SHED_MOST = 0.8; // share of calls refused at the most
-  private static final int VALUES = 64; // calls remembered to rank the next one's worth among
+  private static final double CLIP_RANGE = 0.2;
+  private static final double LEARNING_RATE = 0.1;
+
+  /** Share of the distance to its initial value that each weight moves back per batch. */
+  private static final double WEIGHT_DECAY = 0.01;
+
+  /** A weight deviates from its initial value w by at most this times (|w| + 1). */
+  private static final double MAX_WEIGHT_DRIFT = 0.5;
+
+  /** Mean absolute advantage that is assumed before any was observed. */
+  private static final double INITIAL_ADVANTAGE_SCALE = 0.1;
+
+  private static final double CRITIC_LEARNING_RATE = 0.02;
+
+  // ---------------------------------------------------------------- estimates
+
+  /** Step of running means per function or class. */
+  private static final double SLOW_MEAN_STEP = 0.05;
+
+  /** Step of running means per worker. */
+  private static final double FAST_MEAN_STEP = 0.15;
+
+  /** Shortest window over which call rates are measured. */
+  private static final double RATE_WINDOW_SECONDS = 5;
+
+  /** Longest window for the function mix; front ends with few calls need it. */
+  private static final double MAX_MIX_WINDOW_SECONDS = 20;
+
+  /** The mix window is sized to hold this many own calls. */
+  private static final double MIX_TARGET_CALLS = 100;
+
+  /** Weight, in calls, of the prior that the mix consists of functions not seen yet. */
+  private static final double MIX_PRIOR_CALLS = 20;
+
+  /** Share of the sum of the tenants' quotas that is assumed to be used. */
+  private static final double QUOTA_UTILIZATION = 0.7;
+
+  /** Weight, in own calls, of the call rate derived from the quotas. */
+  private static final double QUOTA_PRIOR_CALLS = 20;
+
+  /** Own calls per worker after which its latency ratio has decayed towards 1. */
+  private static final double LATENCY_RATIO_MEMORY_CALLS = 20;
+
+  /** Logarithm of the latency ratio, relative to the mean, at which the feature saturates. */
+  private static final double LATENCY_RATIO_LOG_SCALE = 1.4;
+
+  /** Highest probability assigned to a copy that this front end has not seen. */
+  private static final double MAX_INFERRED_PROBABILITY = 0.8;
+
+  /** Probability assigned to a copy seen within the idle retention. */
+  private static final double SEEN_PROBABILITY = 0.97;
+
+  /** How long workers keep idle copies where the settings do not say. */
+  private static final long DEFAULT_IDLE_RETENTION_MICROS = 10 * SECOND;
+
+  /** A function without calls for this long is dropped from the state. */
+  private static final long FUNCTION_RETENTION_MICROS = 60 * SECOND;
+
+  /** Share of a copy's lanes that the demand per home is planned to use. */
+  private static final double HOME_LANE_UTILIZATION = 0.8;
+
+  /** Share of a worker's mean load that one function may bring to one home. */
+  private static final double MAX_HOME_LOAD_SHARE = 0.6;
+
+  /** Recent calls, over all front ends, from which on a function is worth a preload. */
+  private static final double MIN_PRELOAD_CALLS = 8;
+
+  /** Front ends expected to preload a home if each of them has a call of the function. */
+  private static final double PRELOADING_FRONT_ENDS = 4;
+
+  /** A load that takes this many times its expected time indicates a congested store. */
+  private static final double SLOW_LOAD_RATIO = 2;
+
+  /** Own concurrent loads per worker in this front end's share of the workers. */
+  private static final double LOADS_PER_WORKER_SHARE = 2;
+
+  // ---------------------------------------------------------------- health
+
+  /** Step of a worker's running failure rate. */
+  private static final double FAILURE_RATE_STEP = 0.2;
+
+  /** A worker is benched when its failure rate exceeds that of the better workers by this. */
+  private static final double BENCH_FAILURE_RATE_EXCESS = 0.8;
+
+  /** An attempt is overdue after this many times its expected time. */
+  private static final double OVERDUE_RATIO = 3;
+
+  /** If more than this share of the workers is unhealthy, a common cause is assumed. */
+  private static final double COMMON_FAILURE_SHARE = 0.75;
+
+  /** If more than this share rejects every call, the workers lack capacity and do not drain. */
+  private static final double COMMON_REJECTION_SHARE = 0.5;
+
+  /** Step of the failure rate after a failed connect. */
+  private static final double CONNECT_FAILURE_STEP = 0.5;
+
+  /** Window over which the workers of a hall are assessed together. */
+  private static final long HALL_WINDOW_MICROS = SECOND;
+
+  /** Silent or unreachable workers from which on a whole hall is benched. */
+  private static final int MIN_HALL_FAILURES = 3;
+
+  private static final long MAX_REJECTION_BACKOFF_MICROS = 2 * SECOND;
+
+  /** Consecutive rejections that may indicate a draining worker. */
+  private static final int MIN_DRAIN_REJECTIONS = 5;
+
+  /** Shortest time over which those rejections must extend. */
+  private static final long MIN_DRAIN_WINDOW_MICROS = 2 * SECOND;
+
+  private static final long MAX_DRAIN_BACKOFF_MICROS = 8 * SECOND;
+
+  /** Pressure of a rejected attempt, as latency over the latency target. */
+  private static final double REJECTION_PRESSURE = 2;
+
+  private static final long MAX_TRIAL_BACKOFF_MICROS = 8 * SECOND;
+
+  // ---------------------------------------------------------------- retries, cold workers,
+  // shedding
+
+  /** Retries and hedges earned by each accepted call. */
+  private static final double RETRIES_PER_CALL = 0.2;
+
+  private static final double MAX_RETRY_BUDGET = 5;
+
+  /** Share of its budget that a call may wait for its first attempt. */
+  private static final double MAX_HELD_SHARE = 0.45;
+
+  /** Share of the latency target before which no hedge is sent. */
+  private static final double MIN_HEDGE_DELAY_SHARE = 0.4;
+
+  /** Share of the allowed load on cold workers that is used, since workers differ in size. */
+  private static final double COLD_BUDGET_SHARE = 0.5;
+
+  /** Decay of the pressure per tick: past pressure is no reason to refuse calls now. */
+  private static final double PRESSURE_DECAY = 0.95;
+
+  /** Mean latency over the latency target that load shedding holds. */
+  private static final double MAX_PRESSURE = 0.75;
+
+  /** Weight, in calls, of the prior that answers are in time. */
+  private static final double PRESSURE_PRIOR_CALLS = 4;
+
+  /** Latency over the latency target of such an answer. */
+  private static final double PRESSURE_PRIOR = 0.3;
+
+  /** Highest ratio of the pressure estimated by Little's law to that seen in answers. */
+  private static final double MAX_LITTLE_RATIO = 2;
+
+  /** Increase of the shed fraction per tick and unit of excess pressure. */
+  private static final double SHED_GAIN = 0.05;
+
+  /** Highest increase of the shed fraction per tick. */
+  private static final double MAX_SHED_INCREASE = 0.025;
+
+  /** Decrease of the shed fraction per tick without excess pressure. */
+  private static final double SHED_DECREASE = 0.03;
+
+  /** Highest share of calls that is shed. */
+  private static final double MAX_SHED_FRACTION = 0.8;
+
+  /** Recent calls among which the value of the next call is ranked. */
+  private static final int RECENT_VALUE_COUNT = 64;
 
   // ---------------------------------------------------------------- state
 
@@ -130,37 +237,42 @@
   private final Random random;
   private final double quota;
   private long now;
-  private Consumer<Action> out;
+  private Consumer<Action> actionSink;
 
   /**
-   * Starts one front end. Throws IllegalArgumentException naming a setting that cannot be served.
+   * Creates the dispatcher of one front end and emits its first actions.
+   *
+   * @param seed seed of the random choices; equal seeds and events give equal actions
+   * @param now current time in microseconds
+   * @param out receives the actions of the start
+   * @throws IllegalArgumentException naming a setting that cannot be served
    */
   public AdaptiveDispatcher(Settings settings, long seed, long now, Consumer<Action> out) {
-    super(settings.classes().size(), settings.tenants().size(), FEATURES, VALUES);
+    super(settings.classes().size(), settings.tenants().size(), FEATURE_COUNT, RECENT_VALUE_COUNT);
     SettingsValidator.check(settings);
     this.settings = settings;
-    siblings = divisor = settings.frontEndCount();
+    frontEndCount = shareDivisor = settings.frontEndCount();
     quota = settings.tenants().stream().mapToDouble(Tenant::quotaPerSecond).sum();
     this.random = new Random(seed);
     this.now = now;
-    this.out = out;
-    System.arraycopy(START, 0, weights, 0, FEATURES);
-    cells = Math.max(1, settings.tenants().size()) * settings.classes().size();
-    retries = RETRY_BURST * random.nextDouble();
-    payoffSpread = SPREAD;
-    phase = random.nextDouble();
-    mixSpan = MIX_SPAN;
-    for (int i = 0; i < classWork.length; i++) {
-      CallClass c = settings.classes().get(i);
-      classWork[i] = new RunningMean(c.latencyTarget() / 4.0);
-      classHint[i] = new RunningMean(1);
-      classLoad[i] = Math.min(c.latencyTarget(), c.timeout() / 4.0);
-      meanWork += classWork[i].value / classWork.length;
-      meanAim += c.latencyTarget() / (double) classWork.length;
-    }
-    act(new StartTimer(TICK, -1));
+    this.actionSink = out;
+    System.arraycopy(INITIAL_WEIGHTS, 0, weights, 0, FEATURE_COUNT);
+    tenantClassCount = Math.max(1, settings.tenants().size()) * settings.classes().size();
+    retryBudget = MAX_RETRY_BUDGET * random.nextDouble();
+    advantageScale = INITIAL_ADVANTAGE_SCALE;
+    roundingOffset = random.nextDouble();
+    mixWindowSeconds = MAX_MIX_WINDOW_SECONDS;
+    for (int i = 0; i < classDuration.length; i++) {
+      CallClass callClass = settings.classes().get(i);
+      classDuration[i] = new RunningMean(callClass.latencyTarget() / 4.0);
+      classHintRatio[i] = new RunningMean(1);
+      classLoadTime[i] = Math.min(callClass.latencyTarget(), callClass.timeout() / 4.0);
+      meanDuration += classDuration[i].value / classDuration.length;
+      meanLatencyTarget += callClass.latencyTarget() / (double) classDuration.length;
+    }
+    emit(new StartTimer(TICK_MICROS, TICK_TOKEN));
     if (settings.subscribesToWorkerList()) {
-      act(new Subscribe(true));
+      emit(new Subscribe(true));
     }
   }
 
@@ -169,724 +281,869 @@
   @Override
   public void handle(long clock, Event event, Consumer<Action> actions) {
     now = clock;
-    out = actions;
+    actionSink = actions;
     if (event instanceof CallArrival e) {
       onCall(e);
     } else if (event instanceof AttemptOutcome e) {
       onOutcome(e);
     } else if (event instanceof TimerFired e) {
-      onDue(e.token());
+      onTimerFired(e.token());
     } else if (event instanceof WorkerListUpdate e) {
       onWorkerListUpdate(e);
     } else if (event instanceof PreloadResult e) {
-      onLoaded(e);
+      onPreloadResult(e);
     } else if (event instanceof ClientDisconnected e) {
-      close(open.get(e.call()));
+      close(pendingCalls.get(e.call()));
     } else if (event instanceof Observation e) {
       applyObservation(e, now);
     } else if (event instanceof CopyRequested e) {
-      Worker w = workers.get(e.worker());
-      Function f = functions.get(e.function());
-      if (w != null && f != null && !cold(w) && mayOrder(w)) {
-        order(w, f, f.loadTime * storeFactor);
+      Worker worker = workers.get(e.worker());
+      Function function = functions.get(e.function());
+      if (worker != null && function != null && !isCold(worker) && mayPreload(worker)) {
+        sendPreload(worker, function, function.loadTime * loadTimeRatio);
       }
     } else if (event instanceof LeasesExpiring e) {
       onExpiring(e);
     } else if (event instanceof FleetSizeUpdate e) {
-      siblings = Math.max(1, e.count());
-      divisor = Math.max(siblings, e.divisor());
-    } else if (event instanceof StreamStarted e && open.get(e.call()) != null) {
-      open.get(e.call()).streaming = true;
+      frontEndCount = Math.max(1, e.count());
+      shareDivisor = Math.max(frontEndCount, e.divisor());
+    } else if (event instanceof StreamStarted e && pendingCalls.get(e.call()) != null) {
+      pendingCalls.get(e.call()).streaming = true;
     }
   }
 
-  private void onCall(CallArrival e) {
-    if (e.callClass() >= settings.classes().size()) {
-      act(new Refuse(e.id(), 0));
+  private void onCall(CallArrival arrival) {
+    if (arrival.callClass() >= settings.classes().size()) {
+      emit(new Refuse(arrival.id(), 0));
       return;
     }
-    Function f = functions.computeIfAbsent(e.function(), Function::new);
-    PendingCall call = new PendingCall(e, settings.classes().get(e.callClass()), f, now);
-    f.recent = recent(f) + 1;
-    f.lastAt = now;
-    taken++;
-    f.lanes = Double.isFinite(e.lanes()) ? Math.max(1, e.lanes()) : 1;
-    f.loadTime = e.loadTime();
-    f.callClass = e.callClass();
-    open.put(e.id(), call);
-    retries = Math.min(RETRY_BURST, retries + RETRY_SHARE);
-    act(new StartTimer(Math.max(1, call.deadline - now), e.id() & 0xffffffffL));
-    if (turnedAway(call)) {
+    Function function = functions.computeIfAbsent(arrival.function(), Function::new);
+    PendingCall call =
+        new PendingCall(arrival, settings.classes().get(arrival.callClass()), function, now);
+    function.recentCalls = recentCalls(function) + 1;
+    function.lastCallAt = now;
+    ownCalls++;
+    function.lanes = Double.isFinite(arrival.lanes()) ? Math.max(1, arrival.lanes()) : 1;
+    function.loadTime = arrival.loadTime();
+    function.callClass = arrival.callClass();
+    pendingCalls.put(arrival.id(), call);
+    retryBudget = Math.min(MAX_RETRY_BUDGET, retryBudget + RETRIES_PER_CALL);
+    emit(new StartTimer(Math.max(1, call.deadline - now), arrival.id() & 0xffffffffL));
+    if (shouldShed(call)) {
       refuse(call);
     } else {
-      if (!e.retry()) { // guards rule 5: what was refused and tried again may not count there
+      // What was refused and is retried might not count for the preload limit (rule 5).
+      if (!arrival.retry()) {
         callTimes.add(now);
       }
-      place(call);
-      preload(f, call);
+      dispatch(call);
+      preloadHome(function, call);
     }
   }
 
-  private void onOutcome(AttemptOutcome e) {
-    PendingCall call = open.get(e.call());
-    Worker w = workers.get(e.worker());
-    Attempt a = w == null ? null : w.out.remove(key(e.call(), e.attempt()));
-    if (a == null) {
+  private void onOutcome(AttemptOutcome outcome) {
+    PendingCall call = pendingCalls.get(outcome.call());
+    Worker worker = workers.get(outcome.worker());
+    Attempt attempt =
+        worker == null
+            ? null
+            : worker.attempts.remove(attemptKey(outcome.call(), outcome.attempt()));
+    if (attempt == null) {
       return;
     }
-    a.copy.inFlight--;
-    loadsOut -= a.begins && loadsOut > 0 ? 1 : 0;
-    judge(w, a, e);
+    attempt.copy.inFlight--;
+    loadsInFlight -= attempt.startsLoad && loadsInFlight > 0 ? 1 : 0;
+    recordOutcome(worker, attempt, outcome);
     if (call == null) {
       return;
     }
-    call.outstanding--;
-    if (!e.code().notRun) {
-      call.mayHaveRun(a);
+    call.attemptsInFlight--;
+    if (!outcome.code().notRun) {
+      call.recordPossibleRun(attempt);
     }
-    if (e.callClosed() || e.code() == OutcomeCode.OK) {
+    if (outcome.callClosed() || outcome.code() == OutcomeCode.OK) {
       close(call);
-    } else if (call.outstanding == 0) {
-      again(call, e.code());
+    } else if (call.attemptsInFlight == 0) {
+      retryOrFinish(call, outcome.code());
     }
   }
 
-  private void onDue(long token) {
-    if (token == -1) {
+  private void onTimerFired(long token) {
+    if (token == TICK_TOKEN) {
       tick();
-      act(new StartTimer(TICK, -1));
-    } else if (token == -2) {
-      act(new Subscribe(true));
+      emit(new StartTimer(TICK_MICROS, TICK_TOKEN));
+    } else if (token == SUBSCRIBE_TOKEN) {
+      emit(new Subscribe(true));
     } else {
-      PendingCall call = open.get((int) token);
+      PendingCall call = pendingCalls.get((int) token);
       if (call != null && !call.streaming && now >= call.deadline) {
         finish(call);
       }
     }
   }
 
-  private void onWorkerListUpdate(WorkerListUpdate e) {
-    if (e.kind() == ListKind.FAILED) {
-      act(new StartTimer(SECOND, -2));
+  private void onWorkerListUpdate(WorkerListUpdate update) {
+    if (update.kind() == ListKind.FAILED) {
+      emit(new StartTimer(SECOND, SUBSCRIBE_TOKEN));
       return;
     }
-    if (e.kind() != ListKind.DELTA) {
-      workers.values().forEach(w -> w.listed = false);
+    if (update.kind() != ListKind.DELTA) {
+      workers.values().forEach(worker -> worker.listed = false);
     }
-    for (WorkerEntry m : e.workers()) {
-      Worker w = workers.computeIfAbsent(m.worker(), id -> new Worker(id, cells));
-      w.listed = true;
-      told(w, m);
+    for (WorkerEntry entry : update.workers()) {
+      Worker worker =
+          workers.computeIfAbsent(entry.worker(), id -> new Worker(id, tenantClassCount));
+      worker.listed = true;
+      updateWorker(worker, entry);
     }
     List<Worker> list = new ArrayList<>();
-    for (Worker w : workers.values()) {
-      w.state = w.listed ? w.state : WorkerState.GONE;
-      if (w.state == WorkerState.READY) {
-        w.place = list.size();
-        list.add(w);
+    for (Worker worker : workers.values()) {
+      worker.state = worker.listed ? worker.state : WorkerState.GONE;
+      if (worker.state == WorkerState.READY) {
+        worker.readyIndex = list.size();
+        list.add(worker);
       }
     }
-    workers.values().removeIf(w -> w.state == WorkerState.GONE && w.out.isEmpty());
+    workers
+        .values()
+        .removeIf(worker -> worker.state == WorkerState.GONE && worker.attempts.isEmpty());
     setReadyWorkers(list);
-    if (served == 0
-        && !list.isEmpty()) { // guards a start among cold workers alone, which would send nothing
-      served =
-          QUOTA_USED * quota / siblings * RATE_SPAN / list.stream().mapToDouble(w -> w.size).sum();
+    // Without this estimate a front end that starts with cold workers only would never send
+    // anything.
+    if (warmServed == 0 && !list.isEmpty()) {
+      warmServed =
+          QUOTA_UTILIZATION
+              * quota
+              / frontEndCount
+              * RATE_WINDOW_SECONDS
+              / list.stream().mapToDouble(worker -> worker.size).sum();
     }
     retryHeld();
   }
 
-  /** One that restarts, or comes back after it was gone, is empty, cold and without a past. */
-  private void told(Worker w, WorkerEntry m) {
-    if (m.startedAt() != w.cameUp
-        || w.state == WorkerState.GONE && m.state() == WorkerState.READY) {
-      w.copies.values().removeIf(c -> c.inFlight == 0);
-      w.copies.values().forEach(c -> c.seenAt = 0);
-      w.bad = 0;
-      w.toldBad = false;
-      w.benched = false;
-      w.lostAt = 0;
-      hallLost[hall(w)] = false;
-      w.coldBudget = random.nextDouble(); // so that small shares sum up rightly over the front ends
-    }
-    if (m.state() == WorkerState.READY
-        && w.state != WorkerState.READY) { // it was out, and now it is said to be back
-      w.turnedAway = 0;
-      w.awayWait = 0;
-      w.awayUntil = 0;
-    }
-    w.told(m, settings.relativeSize(m));
-  }
-
-  private void onLoaded(PreloadResult e) {
-    Worker w = workers.get(e.worker());
-    Copy c = w == null ? null : w.copies.get(e.function());
-    if (c != null) {
-      c.readyAt = 0;
-      c.trust = e.code() == OutcomeCode.OK && e.copies() > 0 ? 1 : c.trust;
-      c.seenAt = e.code() == OutcomeCode.OK && e.copies() > 0 ? now : c.seenAt;
+  /**
+   * Applies a list entry. A worker that restarted, or returns after it was gone, has no copies, is
+   * cold and has a clean history.
+   */
+  private void updateWorker(Worker worker, WorkerEntry entry) {
+    if (entry.startedAt() != worker.startedAt
+        || worker.state == WorkerState.GONE && entry.state() == WorkerState.READY) {
+      worker.copies.values().removeIf(copy -> copy.inFlight == 0);
+      worker.copies.values().forEach(copy -> copy.seenLoadedAt = 0);
+      worker.failureRate = 0;
+      worker.reportedUnhealthy = false;
+      worker.benched = false;
+      worker.lastUnresponsiveAt = 0;
+      hallBenched[hallIndex(worker)] = false;
+      // The random start makes the small shares of many front ends add up correctly.
+      worker.coldBudget = random.nextDouble();
+    }
+    // It was draining or gone and is listed as ready again.
+    if (entry.state() == WorkerState.READY && worker.state != WorkerState.READY) {
+      worker.consecutiveRejections = 0;
+      worker.drainBackoff = 0;
+      worker.drainSuspectedUntil = 0;
+    }
+    worker.update(entry, settings.relativeSize(entry));
+  }
+
+  private void onPreloadResult(PreloadResult result) {
+    Worker worker = workers.get(result.worker());
+    Copy copy = worker == null ? null : worker.copies.get(result.function());
+    if (copy != null) {
+      copy.expectedReadyAt = 0;
+      copy.confidence =
+          result.code() == OutcomeCode.OK && result.copies() > 0 ? 1 : copy.confidence;
+      copy.seenLoadedAt =
+          result.code() == OutcomeCode.OK && result.copies() > 0 ? now : copy.seenLoadedAt;
       retryHeld();
     }
   }
 
-  /** Demand, health, admission and held calls, at a steady pace. */
+  /** Updates demand, health and admission, and retries held calls, every tick. */
   private void tick() {
-    double fade = StrictMath.exp(-(double) TICK / (RATE_SPAN * SECOND));
-    served *= warm > 0 ? fade : 1;
-    watchMix();
-    if (now - plannedAt >= SECOND / 2) {
-      plannedAt = now;
-      plan();
-    }
-    scale(tenantRate, fade);
-    watchHealth();
-    steerShedding();
+    double fade = StrictMath.exp(-(double) TICK_MICROS / (RATE_WINDOW_SECONDS * SECOND));
+    warmServed *= warmCapacity > 0 ? fade : 1;
+    updateDemand();
+    if (now - lastPlanAt >= SECOND / 2) {
+      lastPlanAt = now;
+      updatePlannedLoad();
+    }
+    scale(tenantCallRate, fade);
+    updateHealth();
+    updateShedding();
     retryHeld();
-    forget(now - FORGET);
-  }
-
-  /** How many calls all front ends take, and over which span the mix is taken. */
-  private void watchMix() {
-    taken *= StrictMath.exp(-TICK / (mixSpan * SECOND));
-    heardOf *= StrictMath.exp(-TICK / (mixSpan * SECOND));
-    mixAge = Math.min(mixAge + TICK, (long) (4 * mixSpan * SECOND));
-    double seconds = mixSpan * (1 - StrictMath.exp(-mixAge / (mixSpan * SECOND)));
-    double prior = QUOTA_USED * quota / siblings;
-    double own =
-        (taken + (prior > 0 ? QUOTA_CALLS : 0)) / (seconds + (prior > 0 ? QUOTA_CALLS / prior : 0));
-    fleetRate = siblings * (prior > 0 ? clamp(own, prior / 2, 2 * prior) : own);
-    mixSpan = clamp(MIX_CALLS * seconds / Math.max(1, taken), RATE_SPAN, MIX_SPAN);
-  }
-
-  /** The load that each worker should have, were all calls sent to the homes of their functions. */
-  private void plan() {
-    for (Worker w : ready) {
-      w.plan = 0;
-    }
-    for (Function f : functions.values()) {
-      int homes = homes(f);
-      double each = demand(f) * usual(f, f.callClass) / SECOND / homes;
-      for (Worker w : ready) {
-        w.plan += rank(f, w) < homes ? each : 0;
+    forgetOldestFunction(now - FUNCTION_RETENTION_MICROS);
+  }
+
+  /** Estimates the call rate of the whole fleet and adapts the mix window. */
+  private void updateDemand() {
+    ownCalls *= StrictMath.exp(-TICK_MICROS / (mixWindowSeconds * SECOND));
+    reportedCalls *= StrictMath.exp(-TICK_MICROS / (mixWindowSeconds * SECOND));
+    mixAgeMicros = Math.min(mixAgeMicros + TICK_MICROS, (long) (4 * mixWindowSeconds * SECOND));
+    double seconds =
+        mixWindowSeconds * (1 - StrictMath.exp(-mixAgeMicros / (mixWindowSeconds * SECOND)));
+    double priorRate = QUOTA_UTILIZATION * quota / frontEndCount;
+    double ownRate =
+        (ownCalls + (priorRate > 0 ? QUOTA_PRIOR_CALLS : 0))
+            / (seconds + (priorRate > 0 ? QUOTA_PRIOR_CALLS / priorRate : 0));
+    fleetCallRate =
+        frontEndCount * (priorRate > 0 ? clamp(ownRate, priorRate / 2, 2 * priorRate) : ownRate);
+    mixWindowSeconds =
+        clamp(
+            MIX_TARGET_CALLS * seconds / Math.max(1, ownCalls),
+            RATE_WINDOW_SECONDS,
+            MAX_MIX_WINDOW_SECONDS);
+  }
+
+  /**
+   * Computes the load that each worker would have if all calls went to the homes of their
+   * functions.
+   */
+  private void updatePlannedLoad() {
+    for (Worker worker : readyWorkers) {
+      worker.plannedLoad = 0;
+    }
+    for (Function function : functions.values()) {
+      int homes = homeCount(function);
+      double loadPerHome =
+          demand(function) * usualDuration(function, function.callClass) / SECOND / homes;
+      for (Worker worker : readyWorkers) {
+        worker.plannedLoad += homeRank(function, worker) < homes ? loadPerHome : 0;
       }
     }
   }
 
   /**
-   * Held calls are tried again. One that can no longer be served within its aim is let go under
-   * pressure, and one that was never sent while there is still time for its client to try
+   * Tries to dispatch the held calls. Gives up a call that can no longer meet its latency target
+   * while calls are shed, and one that was never sent while its client still has time to try
    * elsewhere.
    */
   private void retryHeld() {
-    for (PendingCall call : held.isEmpty() ? List.<PendingCall>of() : new ArrayList<>(held)) {
-      held.remove(call);
+    for (PendingCall call :
+        heldCalls.isEmpty() ? List.<PendingCall>of() : new ArrayList<>(heldCalls)) {
+      heldCalls.remove(call);
       boolean stale =
-          call.sent == 0 && now - call.takenAt > HELD_PART * (call.deadline - call.takenAt);
-      if (stale || shed > 0 && now - call.takenAt + unit(call) > call.kind.latencyTarget()) {
+          call.attemptsSent == 0
+              && now - call.arrivedAt > MAX_HELD_SHARE * (call.deadline - call.arrivedAt);
+      if (stale
+          || shedFraction > 0
+              && now - call.arrivedAt + warmDuration(call) > call.callClass.latencyTarget()) {
         finish(call);
       } else {
-        place(call);
+        dispatch(call);
       }
     }
   }
 
-  // ---------------------------------------------------------------- the draw
+  // ---------------------------------------------------------------- worker selection
 
-  /** Sends a call to a worker drawn by the score, or holds it while nothing is permitted. */
-  private void place(PendingCall call) {
-    Worker w = trial(call);
-    w = w != null ? w : renewal(call);
-    w = w != null ? w : draw(call, false);
-    w = w != null ? w : draw(call, true);
-    if (w == null) {
-      held.add(call);
+  /**
+   * Sends a call to a trial, lease-renewing or sampled worker, or holds it while no worker may be
+   * sent to.
+   */
+  private void dispatch(PendingCall call) {
+    Worker worker = trialWorker(call);
+    worker = worker != null ? worker : renewalWorker(call);
+    worker = worker != null ? worker : sampleWorker(call, false);
+    worker = worker != null ? worker : sampleWorker(call, true);
+    if (worker == null) {
+      heldCalls.add(call);
     } else {
-      send(call, w);
+      send(call, worker);
     }
   }
 
   /**
-   * Draws by the softmax of the score. A second round takes benched workers and those tried before.
+   * Samples a worker from the softmax over the scores of the eligible workers; null if there is
+   * none. The second round also admits benched workers and those that the call has already tried.
    */
-  private Worker draw(PendingCall call, boolean second) {
-    int n = 0;
-    meanOwn = 0;
-    meanPace = 0;
-    meanPlan = 0;
-    for (Worker p : ready) {
-      meanOwn += p.out.size() / p.size / ready.length;
-      meanPace += p.pace / ready.length;
-      meanPlan += p.plan / p.size / ready.length;
-    }
-    for (Worker w : ready) {
-      boolean passed =
-          now < w.fullUntil[cell(call)]
-              || turnsAway(w)
-              || !second && (w.benched && !commonCause || call.tried.contains(w));
-      if (!passed && permitted(call, w) && !outlasts(call, w) && !storeBusy(call, w)) {
-        field[n++] = w;
-        inOrder[rank(call.function, w)] = w;
+  private Worker sampleWorker(PendingCall call, boolean secondRound) {
+    int count = 0;
+    meanOwnLoad = 0;
+    meanLatencyRatio = 0;
+    meanPlannedLoad = 0;
+    for (Worker worker : readyWorkers) {
+      meanOwnLoad += worker.attempts.size() / worker.size / readyWorkers.length;
+      meanLatencyRatio += worker.latencyRatio / readyWorkers.length;
+      meanPlannedLoad += worker.plannedLoad / worker.size / readyWorkers.length;
+    }
+    for (Worker worker : readyWorkers) {
+      boolean skipped =
+          now < worker.rejectedUntil[tenantClassIndex(call)]
+              || isDrainSuspected(worker)
+              || !secondRound
+                  && (worker.benched && !commonFailure || call.triedWorkers.contains(worker));
+      if (!skipped
+          && maySend(call, worker)
+          && !loadOutlastsCall(call, worker)
+          && !loadLimitReached(call, worker)) {
+        candidates[count++] = worker;
+        candidatesByRank[homeRank(call.function, worker)] = worker;
       }
     }
-    for (int i = 0, order = 0;
-        i < ready.length;
-        i++) { // the home order among those that can be drawn
-      if (inOrder[i] != null) {
-        inOrder[i].order = order++;
-        inOrder[i] = null;
+    // The home order among the eligible workers only.
+    for (int i = 0, order = 0; i < readyWorkers.length; i++) {
+      if (candidatesByRank[i] != null) {
+        candidatesByRank[i].candidateRank = order++;
+        candidatesByRank[i] = null;
       }
     }
-    if (n == 0) {
+    if (count == 0) {
       return null;
     }
-    for (int i = 0; i < n; i++) {
-      features(call, field[i], rows[i]);
-      chance[i] = dot(weights, rows[i]);
-    }
-    double sum = softmax(chance, n);
-    double at = random.nextDouble() * sum;
-    int pick = 0;
-    while (pick < n - 1 && (at -= chance[pick]) >= 0) {
-      pick++;
-    }
-    call.gradient = surprise(rows, chance, n, pick, sum);
-    call.mean = mean(rows, n);
-    return field[pick];
-  }
-
-  /** Fills a row of features; all within about [-1, 1]. */
-  private void features(PendingCall call, Worker w, double[] x) {
-    Function f = call.function;
-    int rank = w.order;
-    int homes = homes(f);
-    double belief = belief(f, w);
-    double busyLanes = busyLanes(f, w);
-    double left = Math.max(MS, call.deadline - now);
-    x[WARM] = belief * clamp(f.lanes - busyLanes, 0, 1);
-    x[LOAD] =
-        Math.min(1, (1 - belief) * loadWait(call, w) / Math.min(left, call.kind.latencyTarget()));
-    x[OWN] = clamp((w.out.size() / w.size - meanOwn) / (meanOwn + 1), -1, 1);
-    x[PACE] =
+    for (int i = 0; i < count; i++) {
+      features(call, candidates[i], featureRows[i]);
+      scores[i] = dot(weights, featureRows[i]);
+    }
+    double sum = softmax(scores, count);
+    double threshold = random.nextDouble() * sum;
+    int chosen = 0;
+    while (chosen < count - 1 && (threshold -= scores[chosen]) >= 0) {
+      chosen++;
+    }
+    call.gradient = logProbabilityGradient(featureRows, scores, count, chosen, sum);
+    call.meanFeatures = meanRow(featureRows, count);
+    return candidates[chosen];
+  }
+
+  /** Fills in the features of a worker for a call, each within about [-1, 1]. */
+  private void features(PendingCall call, Worker worker, double[] row) {
+    Function function = call.function;
+    int rank = worker.candidateRank;
+    int homes = homeCount(function);
+    double loadedProbability = loadedProbability(function, worker);
+    double busyLanes = busyLanes(function, worker);
+    double timeLeft = Math.max(MILLISECOND, call.deadline - now);
+    row[WARM_COPY] = loadedProbability * clamp(function.lanes - busyLanes, 0, 1);
+    row[LOAD_WAIT] =
+        Math.min(
+            1,
+            (1 - loadedProbability)
+                * expectedLoadWait(call, worker)
+                / Math.min(timeLeft, call.callClass.latencyTarget()));
+    row[OWN_LOAD] =
+        clamp((worker.attempts.size() / worker.size - meanOwnLoad) / (meanOwnLoad + 1), -1, 1);
+    row[LATENCY_RATIO] =
         clamp(
-            StrictMath.log(Math.max(w.pace, w.lag) / Math.max(0.1, meanPace)) / PACE_SCALE, -1, 1);
-    x[CROWD] = clamp((busyLanes + 1 - f.lanes) / f.lanes, 0, 1);
-    x[HOME] = rank < homes ? 1 : Math.max(-1, -0.25 * (rank - homes));
-    x[HALL] = w.zone == settings.zone() ? 1 : 0;
-    x[PLAN] = clamp((w.plan / w.size - meanPlan) / (meanPlan + 0.1), -1, 1);
-    x[DOUBT] = clamp(w.bad, 0, 1);
+            StrictMath.log(
+                    Math.max(worker.latencyRatio, worker.inFlightLatencyRatio)
+                        / Math.max(0.1, meanLatencyRatio))
+                / LATENCY_RATIO_LOG_SCALE,
+            -1,
+            1);
+    row[CONCURRENCY] = clamp((busyLanes + 1 - function.lanes) / function.lanes, 0, 1);
+    row[HOME_RANK] = rank < homes ? 1 : Math.max(-1, -0.25 * (rank - homes));
+    row[OWN_HALL] = worker.zone == settings.zone() ? 1 : 0;
+    row[PLANNED_LOAD] =
+        clamp(
+            (worker.plannedLoad / worker.size - meanPlannedLoad) / (meanPlannedLoad + 0.1), -1, 1);
+    row[FAILURE_RATE] = clamp(worker.failureRate, 0, 1);
   }
 
   /**
-   * Place in the home order, the same at every front end: a hash of function and worker, weighed by
-   * size.
+   * Returns the worker's position in the function's home order. The order is a hash of function and
+   * worker weighted by worker size, so that it is the same at every front end.
    */
-  private int rank(Function f, Worker w) {
-    if (f.rankVersion != listVersion) {
-      f.rankVersion = listVersion;
-      f.rank =
-          Maths.rank(
-              ready.length, i -> -StrictMath.log(fraction(mix(f.id, ready[i].id))) / ready[i].size);
+  private int homeRank(Function function, Worker worker) {
+    if (function.homeRankVersion != listVersion) {
+      function.homeRankVersion = listVersion;
+      function.homeRanks =
+          Maths.ranks(
+              readyWorkers.length,
+              i ->
+                  -StrictMath.log(toUnitInterval(hash(function.id, readyWorkers[i].id)))
+                      / readyWorkers[i].size);
     }
-    return f.rank[w.place];
+    return function.homeRanks[worker.readyIndex];
   }
 
-  /** Own calls of a function within the span of the mix. */
-  private double recent(Function f) {
-    return f.recent * StrictMath.exp(-(now - f.lastAt) / (mixSpan * SECOND));
+  /** Returns the own calls of a function within the mix window. */
+  private double recentCalls(Function function) {
+    return function.recentCalls
+        * StrictMath.exp(-(now - function.lastCallAt) / (mixWindowSeconds * SECOND));
   }
 
   /**
-   * Calls of a function a second over all front ends: its part of the mix, times the calls that all
-   * take. Both are shrunk, as one call would else count for hundreds of siblings: the part towards
-   * functions not seen yet, the calls towards the tenants' quotas. It lags where the mix turns.
+   * Estimates the calls per second of a function over all front ends: its share of the mix, times
+   * the fleet's call rate. Both are shrunk towards a prior, since otherwise one call would be
+   * multiplied by hundreds of front ends: the share towards functions not seen yet, the rate
+   * towards the tenants' quotas. The estimate lags when the mix changes.
    */
-  private double demand(Function f) {
-    double calls = recent(f);
-    return Math.max(calls - 0.5, calls / 2) / (taken + heardOf + MIX_PRIOR) * fleetRate;
+  private double demand(Function function) {
+    double calls = recentCalls(function);
+    return Math.max(calls - 0.5, calls / 2)
+        / (ownCalls + reportedCalls + MIX_PRIOR_CALLS)
+        * fleetCallRate;
   }
 
   /**
-   * How many homes the demand for a function fills; a fraction is rounded by this front end's
-   * phase.
+   * Returns how many homes the demand for a function needs. This front end's offset decides whether
+   * a fraction is rounded up.
    */
-  private int homes(Function f) {
-    double inFlight = demand(f) * usual(f, f.callClass) / SECOND;
-    double most =
-        Math.max(1, HOME_PART * fleetRate * meanWork / SECOND / Math.max(1, ready.length));
+  private int homeCount(Function function) {
+    double expectedInFlight =
+        demand(function) * usualDuration(function, function.callClass) / SECOND;
+    double maxPerHome =
+        Math.max(
+            1,
+            MAX_HOME_LOAD_SHARE
+                * fleetCallRate
+                * meanDuration
+                / SECOND
+                / Math.max(1, readyWorkers.length));
     return (int)
-        clamp(inFlight / Math.min(HOME_FILL * f.lanes, most) + phase, 1, Math.max(1, ready.length));
+        clamp(
+            expectedInFlight / Math.min(HOME_LANE_UTILIZATION * function.lanes, maxPerHome)
+                + roundingOffset,
+            1,
+            Math.max(1, readyWorkers.length));
   }
 
   /**
-   * Belief that a copy stands loaded: sure while idle ones stay, then what peers' calls make
-   * likely.
+   * Estimates the probability that a loaded copy exists at the worker: high while an own
+   * observation is within the idle retention, else the probability that peers' calls keep one
+   * loaded.
    */
-  private double belief(Function f, Worker w) {
-    Copy copy = w.copies.get(f.id);
-    int homes = homes(f);
-    double others = siblings > 1 ? demand(f) : 0;
-    double peers =
-        rank(f, w) >= homes ? 0 : RUMOUR * (1 - StrictMath.exp(-others * keep() / SECOND / homes));
+  private double loadedProbability(Function function, Worker worker) {
+    Copy copy = worker.copies.get(function.id);
+    int homes = homeCount(function);
+    double peerCallRate = frontEndCount > 1 ? demand(function) : 0;
+    double byPeers =
+        homeRank(function, worker) >= homes
+            ? 0
+            : MAX_INFERRED_PROBABILITY
+                * (1 - StrictMath.exp(-peerCallRate * idleRetention() / SECOND / homes));
     if (copy == null) {
-      return peers;
+      return byPeers;
     }
-    if (copy.readyAt > 0) {
-      return now < copy.readyAt ? 0 : RUMOUR;
+    if (copy.expectedReadyAt > 0) {
+      return now < copy.expectedReadyAt ? 0 : MAX_INFERRED_PROBABILITY;
     }
-    double age = (now - copy.seenAt) / (double) keep();
-    double own = copy.inFlight > 0 ? SURE : SURE * copy.trust * clamp((1.3 - age) / 0.4, 0, 1);
-    return copy.seenAt == 0 ? peers : Math.max(own, peers);
+    double age = (now - copy.seenLoadedAt) / (double) idleRetention();
+    double byOwnCalls =
+        copy.inFlight > 0
+            ? SEEN_PROBABILITY
+            : SEEN_PROBABILITY * copy.confidence * clamp((1.3 - age) / 0.4, 0, 1);
+    return copy.seenLoadedAt == 0 ? byPeers : Math.max(byOwnCalls, byPeers);
   }
 
-  private long keep() {
-    return settings.loadPolicy().idleRetention() > 0 ? settings.loadPolicy().idleRetention() : KEEP;
+  private long idleRetention() {
+    return settings.loadPolicy().idleRetention() > 0
+        ? settings.loadPolicy().idleRetention()
+        : DEFAULT_IDLE_RETENTION_MICROS;
   }
 
   /**
-   * Calls of the function at the worker: own ones, and what peers are seen or likely to have there.
+   * Estimates the calls of the function in flight at the worker: the own ones, and those of the
+   * peers as reported or expected.
    */
-  private double busyLanes(Function f, Worker w) {
-    Copy copy = w.copies.get(f.id);
+  private double busyLanes(Function function, Worker worker) {
+    Copy copy = worker.copies.get(function.id);
     double own = copy == null ? 0 : copy.inFlight;
-    int homes = homes(f);
-    double part = 1 - 1.0 / siblings;
+    int homes = homeCount(function);
+    double peerShare = 1 - 1.0 / frontEndCount;
     double peers =
-        rank(f, w) < homes ? part * demand(f) * usual(f, f.callClass) / SECOND / homes : 0;
-    double fresh = copy == null ? 0 : StrictMath.exp(-(now - copy.crowdAt) / (double) SECOND);
-    return own + peers + (fresh == 0 ? 0 : fresh * (copy.others - peers));
-  }
-
-  /** Expected wait for a copy that does not stand loaded. */
-  private double loadWait(PendingCall call, Worker w) {
-    Function f = call.function;
-    Copy copy = w.copies.get(f.id);
-    double whole = f.loadTime > 0 ? f.loadTime * storeFactor : classLoad[call.event.callClass()];
-    return copy != null && copy.readyAt > now ? Math.max(whole / 10, copy.readyAt - now) : whole;
+        homeRank(function, worker) < homes
+            ? peerShare
+                * demand(function)
+                * usualDuration(function, function.callClass)
+                / SECOND
+                / homes
+            : 0;
+    double freshness =
+        copy == null ? 0 : StrictMath.exp(-(now - copy.concurrencyReportedAt) / (double) SECOND);
+    return own + peers + (freshness == 0 ? 0 : freshness * (copy.peerCalls - peers));
+  }
+
+  /** Returns the expected wait for a copy that is not loaded. */
+  private double expectedLoadWait(PendingCall call, Worker worker) {
+    Function function = call.function;
+    Copy copy = worker.copies.get(function.id);
+    double fullLoad =
+        function.loadTime > 0
+            ? function.loadTime * loadTimeRatio
+            : classLoadTime[call.event.callClass()];
+    return copy != null && copy.expectedReadyAt > now
+        ? Math.max(fullLoad / 10, copy.expectedReadyAt - now)
+        : fullLoad;
   }
 
   /**
-   * The draw passes over a worker whose load would outlast its time left; a rumour of a copy is no
-   * proof.
+   * Returns whether loading would take longer than the call has left. A copy that is only inferred
+   * or reported by peers does not count as loaded.
    */
-  private boolean outlasts(PendingCall call, Worker w) {
-    return belief(call.function, w) <= RUMOUR
-        && loadWait(call, w) + unit(call) >= call.deadline - now;
+  private boolean loadOutlastsCall(PendingCall call, Worker worker) {
+    return loadedProbability(call.function, worker) <= MAX_INFERRED_PROBABILITY
+        && expectedLoadWait(call, worker) + warmDuration(call) >= call.deadline - now;
   }
 
-  private boolean beginsLoad(PendingCall call, Worker w) {
-    Copy copy = w.copies.get(call.function.id);
-    return (copy == null || copy.readyAt <= now) && belief(call.function, w) < 0.5;
+  private boolean startsLoad(PendingCall call, Worker worker) {
+    Copy copy = worker.copies.get(call.function.id);
+    return (copy == null || copy.expectedReadyAt <= now)
+        && loadedProbability(call.function, worker) < 0.5;
   }
 
   /**
-   * Few own loads at once: all workers share the store, and it turns fetches away, or stops, when
-   * crowded. The limit halves when loads fail or slow down and grows with each that is in time.
-   * Loads under way may be joined. It hurts when loads fail at one worker alone.
+   * Returns whether the call would start a load above the limit. All workers share the store, which
+   * rejects fetches or stalls when it is congested. The limit halves when loads fail or slow down
+   * and grows with each load in time; loads in progress may be joined. The drawback: it also reacts
+   * to loads that fail at a single worker.
    */
-  private boolean storeBusy(PendingCall call, Worker w) {
-    return loadsOut >= Math.min(loadLimit, mostLoads()) && beginsLoad(call, w);
+  private boolean loadLimitReached(PendingCall call, Worker worker) {
+    return loadsInFlight >= Math.min(loadLimit, maxLoadsInFlight()) && startsLoad(call, worker);
   }
 
-  private double mostLoads() {
-    return Math.max(2, LOADS_EACH * ready.length / divisor);
+  private double maxLoadsInFlight() {
+    return Math.max(2, LOADS_PER_WORKER_SHARE * readyWorkers.length / shareDivisor);
   }
 
-  private void noteLoad(Attempt a, boolean done) {
-    if (done && a.begins) {
-      loadLimit = Math.min(mostLoads(), loadLimit + 0.5);
-    } else if (!done && now - loadFailedAt > SECOND / 4) {
-      loadFailedAt = now;
-      loadLimit = Math.max(1, Math.min(mostLoads(), loadLimit) / 2);
+  private void recordLoad(Attempt attempt, boolean inTime) {
+    if (inTime && attempt.startsLoad) {
+      loadLimit = Math.min(maxLoadsInFlight(), loadLimit + 0.5);
+    } else if (!inTime && now - lastLoadFailureAt > SECOND / 4) {
+      lastLoadFailureAt = now;
+      loadLimit = Math.max(1, Math.min(maxLoadsInFlight(), loadLimit) / 2);
     }
   }
 
-  /** Expected time in flight of a call on a warm worker of the usual pace. */
-  private double unit(PendingCall call) {
-    double prior = classWork[call.event.callClass()].value;
-    if (call.event.expectedDuration()
-        > 0) { // hints are rough, and a small call waits like any other
-      return prior / 4
-          + 0.75 * call.event.expectedDuration() * classHint[call.event.callClass()].value;
+  /** Returns the expected latency of a call on a warm worker with latency ratio 1. */
+  private double warmDuration(PendingCall call) {
+    double classMean = classDuration[call.event.callClass()].value;
+    // Expected durations are rough, and a small call waits as long as any other.
+    if (call.event.expectedDuration() > 0) {
+      return classMean / 4
+          + 0.75 * call.event.expectedDuration() * classHintRatio[call.event.callClass()].value;
     }
-    return usual(call.function, call.event.callClass());
+    return usualDuration(call.function, call.event.callClass());
   }
 
-  /** The usual time in flight of a warm call of a function, shrunk towards its class. */
-  private double usual(Function f, int callClass) {
-    return (3 * classWork[callClass].value + f.work.count * f.work.value) / (3 + f.work.count);
+  /** Returns the usual latency of a function's warm calls, shrunk towards that of its class. */
+  private double usualDuration(Function function, int callClass) {
+    return (3 * classDuration[callClass].value + function.duration.count * function.duration.value)
+        / (3 + function.duration.count);
   }
 
-  // ---------------------------------------------------------------- sends and their gate
+  // ---------------------------------------------------------------- sending attempts
 
   /**
-   * The one gate of every send: attempt limits, and rules 2 (effects), 3 (drains) and 4 (cold
-   * workers).
+   * Checks every send against the attempt limit and rules 2 (repeats of calls that may have run), 3
+   * (draining workers) and 4 (cold workers).
    */
-  private boolean permitted(PendingCall call, Worker w) {
-    if (call.sent >= settings.limits().maxAttempts() || now >= call.deadline || call.streaming) {
+  private boolean maySend(PendingCall call, Worker worker) {
+    if (call.attemptsSent >= settings.limits().maxAttempts()
+        || now >= call.deadline
+        || call.streaming) {
       return false;
     }
-    boolean alone = call.outstanding <= (call.hedged ? 1 : 0);
-    if (w.state != WorkerState.READY || !alone || call.mayHaveRun && !repeatable(call, w)) {
+    boolean onlyAttempt = call.attemptsInFlight <= (call.hedged ? 1 : 0);
+    if (worker.state != WorkerState.READY
+        || !onlyAttempt
+        || call.mayHaveRun && !mayRepeat(call, worker)) {
       return false;
     }
-    return !cold(w) || w.coldBudget >= 1;
+    return !isCold(worker) || worker.coldBudget >= 1;
   }
 
-  private boolean cold(Worker w) {
-    return settings.rules().isCold(now, w.cameUp);
+  private boolean isCold(Worker worker) {
+    return settings.rules().isCold(now, worker.startedAt);
   }
 
-  private boolean repeatable(PendingCall call, Worker w) {
-    CallClass kind = call.kind;
-    if (kind.idempotency() == Idempotency.IDEMPOTENT) {
+  private boolean mayRepeat(PendingCall call, Worker worker) {
+    CallClass callClass = call.callClass;
+    if (callClass.idempotency() == Idempotency.IDEMPOTENT) {
       return true;
     }
-    if (kind.idempotency() == Idempotency.NOT_IDEMPOTENT
-        || now - call.ranSince >= kind.dedupWindow()) {
+    if (callClass.idempotency() == Idempotency.NOT_IDEMPOTENT
+        || now - call.firstRunAt >= callClass.dedupWindow()) {
       return false;
     }
-    return switch (kind.dedupScope()) {
+    return switch (callClass.dedupScope()) {
       case ALL -> true;
-      case ZONE -> w.zone == call.ranZone;
-      case CELL -> w.cell == call.ranCell;
+      case ZONE -> worker.zone == call.firstRunZone;
+      case CELL -> worker.cell == call.firstRunCell;
     };
   }
 
   /**
-   * Rule 4. A cold worker may get this front end's own share of what a warm one bears, times the
-   * multiple and the share that it can do by now; every front end keeping to its share, all of them
-   * keep the rule unasked. While none is warm, what the last ones bore holds.
+   * Refills the budget of a cold worker (rule 4). The worker may get this front end's share of what
+   * a warm worker handles, times the overload multiple and its present share of full capacity. As
+   * every front end keeps to its share, all of them together keep the rule without coordination.
+   * While no worker is warm, the last known rate of warm workers applies.
    */
-  private void fillColdBudget(Worker w) {
-    Rules r = settings.rules();
+  private void refillColdBudget(Worker worker) {
+    Rules rules = settings.rules();
     double rate =
-        COLD_MARGIN
-            * r.overloadMultiple()
-            * r.warmUpFraction(now, w.cameUp)
-            * served
-            / RATE_SPAN
-            * w.size;
-    double most = Math.max(1, rate * r.overloadWindow() / SECOND / 4);
-    w.coldSince = w.coldBudget < 1 ? now : w.coldSince;
-    boolean lapsed =
-        most == 1
-            && now - w.coldSince > r.overloadWindow(); // else many front ends save one up each
-    w.coldBudget =
-        lapsed ? random.nextDouble() : Math.min(most, w.coldBudget + rate * TICK / SECOND);
-  }
-
-  private void send(PendingCall call, Worker w) {
-    Function f = call.function;
-    Copy copy = w.copies.computeIfAbsent(f.id, id -> new Copy());
-    Attempt a = new Attempt(call, w, copy, now);
-    double belief = belief(f, w);
-    a.cold = belief < 0.5;
-    a.begins = beginsLoad(call, w);
-    loadsOut += a.begins ? 1 : 0;
-    a.unit = unit(call);
-    a.load = loadWait(call, w);
-    a.expected = a.unit * Math.max(1, w.pace) + (a.cold ? 1.5 * a.load : (1 - belief) * a.load);
-    if (a.cold && copy.readyAt <= now) {
-      copy.readyAt = now + (long) a.load;
-    }
-    if (cold(w)) {
-      w.coldBudget--;
+        COLD_BUDGET_SHARE
+            * rules.overloadMultiple()
+            * rules.warmUpFraction(now, worker.startedAt)
+            * warmServed
+            / RATE_WINDOW_SECONDS
+            * worker.size;
+    double maxBudget = Math.max(1, rate * rules.overloadWindow() / SECOND / 4);
+    worker.coldBudgetReadySince = worker.coldBudget < 1 ? now : worker.coldBudgetReadySince;
+    // Otherwise each of many front ends would accumulate a call, and all could send at once.
+    boolean expired = maxBudget == 1 && now - worker.coldBudgetReadySince > rules.overloadWindow();
+    worker.coldBudget =
+        expired
+            ? random.nextDouble()
+            : Math.min(maxBudget, worker.coldBudget + rate * TICK_MICROS / SECOND);
+  }
+
+  private void send(PendingCall call, Worker worker) {
+    Function function = call.function;
+    Copy copy = worker.copies.computeIfAbsent(function.id, id -> new Copy());
+    Attempt attempt = new Attempt(call, worker, copy, now);
+    double loadedProbability = loadedProbability(function, worker);
+    attempt.expectsLoad = loadedProbability < 0.5;
+    attempt.startsLoad = startsLoad(call, worker);
+    loadsInFlight += attempt.startsLoad ? 1 : 0;
+    attempt.warmDuration = warmDuration(call);
+    attempt.loadTime = expectedLoadWait(call, worker);
+    attempt.expectedTime =
+        attempt.warmDuration * Math.max(1, worker.latencyRatio)
+            + (attempt.expectsLoad
+                ? 1.5 * attempt.loadTime
+                : (1 - loadedProbability) * attempt.loadTime);
+    if (attempt.expectsLoad && copy.expectedReadyAt <= now) {
+      copy.expectedReadyAt = now + (long) attempt.loadTime;
+    }
+    if (isCold(worker)) {
+      worker.coldBudget--;
     }
     copy.inFlight++;
-    expiring.remove(w);
-    w.out.put(key(call.event.id(), call.sent), a);
-    call.sent++;
-    call.outstanding++;
-    long left = call.deadline - now;
-    boolean again =
-        call.kind.idempotency() == Idempotency.IDEMPOTENT && !settings.limits().cancelAllowed();
-    act(
+    expiringWorkers.remove(worker);
+    worker.attempts.put(attemptKey(call.event.id(), call.attemptsSent), attempt);
+    call.attemptsSent++;
+    call.attemptsInFlight++;
+    long timeLeft = call.deadline - now;
+    boolean mayRetryEarly =
+        call.callClass.idempotency() == Idempotency.IDEMPOTENT
+            && !settings.limits().cancelAllowed();
+    emit(
         new Send(
             call.event.id(),
-            w.id,
-            again ? Math.min(left, (long) (OVERDUE * a.expected) + TICK) : left));
+            worker.id,
+            mayRetryEarly
+                ? Math.min(timeLeft, (long) (OVERDUE_RATIO * attempt.expectedTime) + TICK_MICROS)
+                : timeLeft));
   }
 
   /**
-   * A call whose attempts are all over, unanswered: sent again within its class and the budget, or
-   * ended.
+   * Handles a call whose attempts have all ended unanswered: sends it again if its class and the
+   * retry budget allow, or ends it.
    */
-  private void again(PendingCall call, OutcomeCode last) {
-    boolean allowed = !call.mayHaveRun || call.kind.idempotency() != Idempotency.NOT_IDEMPOTENT;
-    // What no worker knows may be nonsense: it is tried once more, and leaves others their budget.
-    boolean known = last != OutcomeCode.ERROR || call.function.servedAt > 0 || call.sent < 2;
-    boolean time =
-        known && call.deadline - now > unit(call) && call.sent < settings.limits().maxAttempts();
-    if (allowed && time && retries >= 1) {
-      // One that never arrived has cost the workers nothing.
-      retries -= last == OutcomeCode.CONNECT_FAILED ? 0.25 : 1;
-      place(call);
+  private void retryOrFinish(PendingCall call, OutcomeCode lastCode) {
+    boolean allowed =
+        !call.mayHaveRun || call.callClass.idempotency() != Idempotency.NOT_IDEMPOTENT;
+    // A function that no worker has ever served may not exist: its calls get one retry only and
+    // leave the budget to others.
+    boolean worthRetrying =
+        lastCode != OutcomeCode.ERROR || call.function.lastServedAt > 0 || call.attemptsSent < 2;
+    boolean hasTime =
+        worthRetrying
+            && call.deadline - now > warmDuration(call)
+            && call.attemptsSent < settings.limits().maxAttempts();
+    if (allowed && hasTime && retryBudget >= 1) {
+      // An attempt that never arrived has cost the workers nothing.
+      retryBudget -= lastCode == OutcomeCode.CONNECT_FAILED ? 0.25 : 1;
+      dispatch(call);
     } else {
       finish(call);
     }
   }
 
   /**
-   * Ends a call unserved: refused where rule 2 allows it, as the client may then try again; else
-   * failed.
+   * Ends a call unserved. It is refused where a retry by the client is safe (rule 2), and fails
+   * otherwise.
    */
   private void finish(PendingCall call) {
-    boolean proved = !call.mayHaveRun && call.outstanding == 0;
-    boolean dropped =
-        call.kind.idempotency() == Idempotency.DEDUPLICATED
-            && call.kind.dedupScope() == DedupScope.ALL;
-    if (proved || call.kind.idempotency() == Idempotency.IDEMPOTENT || dropped) {
+    boolean provedNotRun = !call.mayHaveRun && call.attemptsInFlight == 0;
+    boolean deduplicatedEverywhere =
+        call.callClass.idempotency() == Idempotency.DEDUPLICATED
+            && call.callClass.dedupScope() == DedupScope.ALL;
+    if (provedNotRun
+        || call.callClass.idempotency() == Idempotency.IDEMPOTENT
+        || deduplicatedEverywhere) {
       refuse(call);
     } else {
-      act(new Fail(call.event.id()));
+      emit(new Fail(call.event.id()));
       close(call);
     }
   }
 
   private void refuse(PendingCall call) {
-    long most = settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
-    act(new Refuse(call.event.id(), (long) (random.nextDouble() * most)));
+    long maxRetryAfter =
+        settings.limits().retryAfterAllowed() ? settings.limits().maxRetryAfter() : 0;
+    emit(new Refuse(call.event.id(), (long) (random.nextDouble() * maxRetryAfter)));
     close(call);
   }
 
   private void close(PendingCall call) {
     if (call != null) {
-      open.remove(call.event.id());
-      held.remove(call);
+      pendingCalls.remove(call.event.id());
+      heldCalls.remove(call);
       call.closed = true;
     }
   }
 
-  // ---------------------------------------------------------------- orders to load
+  // ---------------------------------------------------------------- preloads
 
   /**
-   * The one gate of orders to load: rules 3 (drains) and 5 (rationed loads). An order counts as it
-   * arrives, and may wait for a connection first: what was given that much before the window may
-   * fall into it as well. What is given to a worker that is silent may arrive seconds later, once
-   * it is heard again.
+   * Checks every preload against rules 3 (draining workers) and 5 (limited rate of preloads). A
+   * preload counts when it arrives, and it may wait for a connection first, so those sent up to a
+   * connect timeout before the window count as well. A preload for a silent worker might arrive
+   * seconds later, once the worker is reachable again.
    */
-  private boolean mayOrder(Worker w) {
-    LoadPolicy l = settings.loadPolicy();
-    prune(callTimes, now - l.preloadWindow());
-    prune(orderTimes, now - l.preloadWindow() - settings.limits().connectTimeout() - TICK);
-    return l.mayPreload()
-        && w.state == WorkerState.READY
-        && !w.benched
-        && w.lostAt <= w.wellAt
-        && !turnsAway(w)
-        && (l.preloadWindow() <= 0
-            || orderTimes.size() + 1 <= l.freePreloads() + l.preloadsPerCall() * callTimes.size());
+  private boolean mayPreload(Worker worker) {
+    LoadPolicy policy = settings.loadPolicy();
+    removeUpTo(callTimes, now - policy.preloadWindow());
+    removeUpTo(
+        preloadTimes,
+        now - policy.preloadWindow() - settings.limits().connectTimeout() - TICK_MICROS);
+    return policy.mayPreload()
+        && worker.state == WorkerState.READY
+        && !worker.benched
+        && worker.lastUnresponsiveAt <= worker.lastOkAt
+        && !isDrainSuspected(worker)
+        && (policy.preloadWindow() <= 0
+            || preloadTimes.size() + 1
+                <= policy.freePreloads() + policy.preloadsPerCall() * callTimes.size());
   }
 
   /**
-   * Loads a further home before it is needed; the home itself where copies come only by orders, or
-   * where the load would outlast the calls of a function in use: they may not begin it, so that it
-   * never would stand.
+   * Preloads a further home before it is needed. The first home is preloaded too where copies come
+   * only from preloads, or where the load would outlast the calls of a function in use: those calls
+   * may not start it, so the copy would never be loaded.
    */
-  private void preload(Function f, PendingCall call) {
-    prune(callTimes, now - Math.max(SECOND, settings.loadPolicy().preloadWindow()));
-    int homes = homes(f);
-    boolean inUse = siblings * recent(f) >= ORDER_CALLS; // one of many front ends sees few
-    boolean unserved = shed == 0 && inUse && now - f.servedAt > keep();
-    // All front ends want the same further homes: most orders would find a copy that another had
-    // loaded.
-    boolean turn = homes > 1 && random.nextDouble() * divisor < ORDERS_EACH;
-    for (int i = 0; i < ready.length && settings.loadPolicy().mayPreload(); i++) {
-      Worker w = ready[i];
-      Copy copy = w.copies.get(f.id);
-      boolean hopeless = unserved && held.contains(call) && outlasts(call, w);
+  private void preloadHome(Function function, PendingCall call) {
+    removeUpTo(callTimes, now - Math.max(SECOND, settings.loadPolicy().preloadWindow()));
+    int homes = homeCount(function);
+    // One of many front ends sees only few of the calls.
+    boolean inUse = frontEndCount * recentCalls(function) >= MIN_PRELOAD_CALLS;
+    boolean unserved = shedFraction == 0 && inUse && now - function.lastServedAt > idleRetention();
+    // All front ends want the same further homes, so most preloads would find a copy that another
+    // one had loaded.
+    boolean mayPreloadFurtherHome =
+        homes > 1 && random.nextDouble() * shareDivisor < PRELOADING_FRONT_ENDS;
+    for (int i = 0; i < readyWorkers.length && settings.loadPolicy().mayPreload(); i++) {
+      Worker worker = readyWorkers[i];
+      Copy copy = worker.copies.get(function.id);
+      boolean neverLoads = unserved && heldCalls.contains(call) && loadOutlastsCall(call, worker);
       boolean wanted =
-          rank(f, w) < homes && (turn || hopeless || !settings.loadPolicy().loadsOnMiss());
-      boolean absent = copy == null || copy.readyAt == 0 && now - copy.seenAt > keep();
-      if (wanted && absent && mayOrder(w)) {
-        order(w, f, loadWait(call, w));
+          homeRank(function, worker) < homes
+              && (mayPreloadFurtherHome || neverLoads || !settings.loadPolicy().loadsOnMiss());
+      boolean absent =
+          copy == null || copy.expectedReadyAt == 0 && now - copy.seenLoadedAt > idleRetention();
+      if (wanted && absent && mayPreload(worker)) {
+        sendPreload(worker, function, expectedLoadWait(call, worker));
         return;
       }
     }
   }
 
-  private void order(Worker w, Function f, double wait) {
-    orderTimes.add(now);
-    w.copies.computeIfAbsent(f.id, id -> new Copy()).readyAt = now + (long) wait;
-    act(new Preload(w.id, f.id, 1));
+  private void sendPreload(Worker worker, Function function, double wait) {
+    preloadTimes.add(now);
+    worker.copies.computeIfAbsent(function.id, id -> new Copy()).expectedReadyAt =
+        now + (long) wait;
+    emit(new Preload(worker.id, function.id, 1));
   }
 
-  // ---------------------------------------------------------------- work that renews a permission
+  // ---------------------------------------------------------------- lease renewal
 
   /**
-   * While the source of the list is out of reach a worker may be sent work only as long as it goes
-   * on taking some: it gets an order for a copy that it likely holds, within the ration, and else
-   * the next call that fits. It costs the workers next to nothing; where no copy is likely there,
-   * few of all front ends begin a load for it. The orders are spread over the span of the ration:
-   * all at once they would leave none for those whose permission ends next.
+   * Renews expiring leases. While the source of the worker list is unreachable, a worker may be
+   * sent work only as long as it keeps accepting some. It gets a preload of a copy that it probably
+   * holds, within the preload limit, and otherwise the next suitable call; this costs the worker
+   * almost nothing. Where no copy is likely, only a few of all front ends start a load. The
+   * preloads are spread over the preload window: all at once they would use up the limit before the
+   * leases that expire next.
    */
-  private void onExpiring(LeasesExpiring e) {
+  private void onExpiring(LeasesExpiring event) {
     List<Worker> urgent = new ArrayList<>();
     List<Worker> idle = new ArrayList<>();
     List<Worker> others = new ArrayList<>();
-    for (int i = 0; i < e.workers().size(); i++) {
-      Worker w = workers.get(e.workers().get(i));
-      if (w != null && w.state == WorkerState.READY) {
-        (now - w.wellAt > 2 * KEEP ? idle : i < e.urgent() ? urgent : others).add(w);
+    for (int i = 0; i < event.workers().size(); i++) {
+      Worker worker = workers.get(event.workers().get(i));
+      if (worker != null && worker.state == WorkerState.READY) {
+        (now - worker.lastOkAt > 2 * DEFAULT_IDLE_RETENTION_MICROS
+                ? idle
+                : i < event.urgent() ? urgent : others)
+            .add(worker);
       }
     }
-    expiring.clear();
-    expiring.addAll(urgent); // where not all can be kept, those in use are
-    expiring.addAll(idle);
-    expiring.addAll(others);
-    LoadPolicy l = settings.loadPolicy();
-    double apart =
-        l.preloadWindow() / Math.max(1, l.freePreloads() + l.preloadsPerCall() * callTimes.size());
-    for (Worker w : expiring) {
-      Function f = now - renewedAt >= apart && mayOrder(w) ? likely(w) : null;
-      if (f != null) {
-        renewedAt = now;
-        order(w, f, belief(f, w) >= 0.5 ? 0 : f.loadTime * storeFactor);
+    expiringWorkers.clear();
+    // If not all leases can be kept, the workers in use keep theirs.
+    expiringWorkers.addAll(urgent);
+    expiringWorkers.addAll(idle);
+    expiringWorkers.addAll(others);
+    LoadPolicy policy = settings.loadPolicy();
+    double minInterval =
+        policy.preloadWindow()
+            / Math.max(1, policy.freePreloads() + policy.preloadsPerCall() * callTimes.size());
+    for (Worker worker : expiringWorkers) {
+      Function function =
+          now - lastRenewalAt >= minInterval && mayPreload(worker) ? renewalFunction(worker) : null;
+      if (function != null) {
+        lastRenewalAt = now;
+        sendPreload(
+            worker,
+            function,
+            loadedProbability(function, worker) >= 0.5 ? 0 : function.loadTime * loadTimeRatio);
       }
     }
   }
 
   /**
-   * The function in most use here of which a copy likely stands loaded at a worker, else the one in
-   * most use of all, if a load for it is due: its calls can renew the permission from then on. Null
-   * for none.
+   * Returns the most used function of which the worker probably holds a copy. Without one, returns
+   * the most used function of all if a load is allowed, since its calls can renew the lease from
+   * then on. Null if there is none.
    */
-  private Function likely(Worker w) {
-    boolean mayLoad =
-        loadsOut < Math.min(loadLimit, mostLoads()) && random.nextDouble() * divisor < ORDERS_EACH;
+  private Function renewalFunction(Worker worker) {
+    boolean mayStartLoad =
+        loadsInFlight < Math.min(loadLimit, maxLoadsInFlight())
+            && random.nextDouble() * shareDivisor < PRELOADING_FRONT_ENDS;
     Function best = null;
-    boolean found = false;
-    double most = 0;
-    for (Function f : functions.values()) {
-      boolean loaded = belief(f, w) >= 0.5;
-      double use = recent(f);
-      if (loaded && !found || loaded == found && (loaded || mayLoad) && use > most) {
-        best = f;
-        found = loaded;
-        most = use;
+    boolean bestLoaded = false;
+    double mostCalls = 0;
+    for (Function function : functions.values()) {
+      boolean loaded = loadedProbability(function, worker) >= 0.5;
+      double calls = recentCalls(function);
+      if (loaded && !bestLoaded
+          || loaded == bestLoaded && (loaded || mayStartLoad) && calls > mostCalls) {
+        best = function;
+        bestLoaded = loaded;
+        mostCalls = calls;
       }
     }
     return best;
   }
 
   /**
-   * A worker whose permission ends soon and that has a free lane of the call's function loaded; any
-   * that fits, where orders are not allowed.
+   * Returns a worker whose lease expires soon and that has a free lane of a loaded copy of the
+   * call's function, or null. Where preloads are not allowed, any suitable worker will do for an
+   * idempotent call.
    */
-  private Worker renewal(PendingCall call) {
-    for (Worker w : expiring) {
-      boolean passed =
-          w.benched || now < w.fullUntil[cell(call)] || turnsAway(w) || call.tried.contains(w);
-      if (passed || !permitted(call, w) || outlasts(call, w) || storeBusy(call, w)) {
+  private Worker renewalWorker(PendingCall call) {
+    for (Worker worker : expiringWorkers) {
+      boolean skipped =
+          worker.benched
+              || now < worker.rejectedUntil[tenantClassIndex(call)]
+              || isDrainSuspected(worker)
+              || call.triedWorkers.contains(worker);
+      if (skipped
+          || !maySend(call, worker)
+          || loadOutlastsCall(call, worker)
+          || loadLimitReached(call, worker)) {
         continue;
       }
       boolean loaded =
-          belief(call.function, w) >= 0.5 && busyLanes(call.function, w) < call.function.lanes;
+          loadedProbability(call.function, worker) >= 0.5
+              && busyLanes(call.function, worker) < call.function.lanes;
       if (loaded
           || !settings.loadPolicy().mayPreload()
-              && call.kind.idempotency() == Idempotency.IDEMPOTENT) {
-        return w;
+              && call.callClass.idempotency() == Idempotency.IDEMPOTENT) {
+        return worker;
       }
     }
     return null;
@@ -894,291 +1151,361 @@
 
   // ---------------------------------------------------------------- health
 
-  /** Draws on an outcome: the worker's pace and health, the copy, the function, the weights. */
-  private void judge(Worker w, Attempt a, AttemptOutcome e) {
-    Function f = a.call.function;
-    if (e.code() == OutcomeCode.OK) {
-      w.wellAt = now;
-      tookOn(w, a);
-      hallLost[hall(w)] = false;
-      meanWork += SLOW_MEAN * (a.unit - meanWork);
+  /**
+   * Updates the worker's latency and health, the copy, the function and the policy from an outcome.
+   */
+  private void recordOutcome(Worker worker, Attempt attempt, AttemptOutcome outcome) {
+    Function function = attempt.call.function;
+    if (outcome.code() == OutcomeCode.OK) {
+      worker.lastOkAt = now;
+      onAccepted(worker, attempt);
+      hallBenched[hallIndex(worker)] = false;
+      meanDuration += SLOW_MEAN_STEP * (attempt.warmDuration - meanDuration);
       boolean loaded =
-          e.copyStatus() == CopyStatus.WARM
-              || e.copyStatus() == CopyStatus.NONE
-                  && !a.cold
-                  && e.elapsed() < a.expected + a.load / 2;
+          outcome.copyStatus() == CopyStatus.WARM
+              || outcome.copyStatus() == CopyStatus.NONE
+                  && !attempt.expectsLoad
+                  && outcome.elapsed() < attempt.expectedTime + attempt.loadTime / 2;
       if (loaded) {
-        w.pace += FAST_MEAN * (clamp(e.elapsed() / a.unit, 0, 6) - w.pace);
-        f.work.add(e.elapsed(), SLOW_MEAN);
-        classWork[a.call.event.callClass()].add(e.elapsed(), SLOW_MEAN);
-        if (a.call.event.expectedDuration() > 0) {
-          classHint[a.call.event.callClass()].add(
-              e.elapsed() / (double) a.call.event.expectedDuration(), SLOW_MEAN);
+        worker.latencyRatio +=
+            FAST_MEAN_STEP
+                * (clamp(outcome.elapsed() / attempt.warmDuration, 0, 6) - worker.latencyRatio);
+        function.duration.add(outcome.elapsed(), SLOW_MEAN_STEP);
+        classDuration[attempt.call.event.callClass()].add(outcome.elapsed(), SLOW_MEAN_STEP);
+        if (attempt.call.event.expectedDuration() > 0) {
+          classHintRatio[attempt.call.event.callClass()].add(
+              outcome.elapsed() / (double) attempt.call.event.expectedDuration(), SLOW_MEAN_STEP);
         }
-      } else if (e.copyStatus() == CopyStatus.BEGAN_LOAD
-          || e.copyStatus() == CopyStatus.NONE && a.cold) {
-        double load = Math.max(0, e.elapsed() - a.unit * w.pace);
-        classLoad[a.call.event.callClass()] +=
-            FAST_MEAN * (load - classLoad[a.call.event.callClass()]);
-        if (f.loadTime > 0) {
-          storeFactor += FAST_MEAN * (clamp(load / f.loadTime, 0.5, 4) - storeFactor);
+      } else if (outcome.copyStatus() == CopyStatus.BEGAN_LOAD
+          || outcome.copyStatus() == CopyStatus.NONE && attempt.expectsLoad) {
+        double loadTime =
+            Math.max(0, outcome.elapsed() - attempt.warmDuration * worker.latencyRatio);
+        classLoadTime[attempt.call.event.callClass()] +=
+            FAST_MEAN_STEP * (loadTime - classLoadTime[attempt.call.event.callClass()]);
+        if (function.loadTime > 0) {
+          loadTimeRatio +=
+              FAST_MEAN_STEP * (clamp(loadTime / function.loadTime, 0.5, 4) - loadTimeRatio);
         }
       }
-      noteLoad(a, e.elapsed() - a.unit * w.pace < SLOW_LOAD * a.load);
-      served += cold(w) ? 0 : 1 / Math.max(w.size, warm);
-      if (loaded) { // a wait for a load is no sign that the workers are short of cores
-        press(e.elapsed() / (double) a.call.kind.latencyTarget());
+      recordLoad(
+          attempt,
+          outcome.elapsed() - attempt.warmDuration * worker.latencyRatio
+              < SLOW_LOAD_RATIO * attempt.loadTime);
+      warmServed += isCold(worker) ? 0 : 1 / Math.max(worker.size, warmCapacity);
+      // Waiting for a load is no sign that the workers lack CPU.
+      if (loaded) {
+        addPressure(outcome.elapsed() / (double) attempt.call.callClass.latencyTarget());
       }
-      a.copy.seenAt = now;
-      a.copy.trust = 1;
-      a.copy.readyAt = 0;
-      w.fullWait[cell(a.call)] = 0;
-    } else if (e.code() == OutcomeCode.TIMEOUT || e.code() == OutcomeCode.CANCELLED) {
-      w.pace += FAST_MEAN * Math.max(0, clamp(e.elapsed() / a.unit, 0, 6) - w.pace);
-    } else if (e.code() == OutcomeCode.MISS || e.copyStatus() == CopyStatus.LOAD_FAILED) {
-      a.copy.seenAt = 0;
-      a.copy.readyAt = 0;
-      noteLoad(a, false);
-    } else if (e.code() == OutcomeCode.FULL) {
-      turnedAwayBy(w, a);
-      watchForDrain(w, a, e.concurrency());
-    }
-    if (e.concurrency() >= 0
-        && settings.loadPolicy().reportsConcurrency()) { // else an absent count would be none
-      a.copy.others += 0.5 * (Math.max(0, e.concurrency() - a.ownBefore) - a.copy.others);
-      a.copy.crowdAt = now;
-    }
-    boolean dead = e.code() == OutcomeCode.CONNECT_FAILED || e.code() == OutcomeCode.RESET;
-    // An error for a function that nobody has served yet tells of the function, or of a client's
-    // nonsense.
+      attempt.copy.seenLoadedAt = now;
+      attempt.copy.confidence = 1;
+      attempt.copy.expectedReadyAt = 0;
+      worker.rejectionBackoff[tenantClassIndex(attempt.call)] = 0;
+    } else if (outcome.code() == OutcomeCode.TIMEOUT || outcome.code() == OutcomeCode.CANCELLED) {
+      worker.latencyRatio +=
+          FAST_MEAN_STEP
+              * Math.max(
+                  0, clamp(outcome.elapsed() / attempt.warmDuration, 0, 6) - worker.latencyRatio);
+    } else if (outcome.code() == OutcomeCode.MISS
+        || outcome.copyStatus() == CopyStatus.LOAD_FAILED) {
+      attempt.copy.seenLoadedAt = 0;
+      attempt.copy.expectedReadyAt = 0;
+      recordLoad(attempt, false);
+    } else if (outcome.code() == OutcomeCode.FULL) {
+      onRejected(worker, attempt);
+      detectDrain(worker, attempt, outcome.concurrency());
+    }
+    // Where workers do not report their concurrency, an absent value must not be read as 0.
+    if (outcome.concurrency() >= 0 && settings.loadPolicy().reportsConcurrency()) {
+      attempt.copy.peerCalls +=
+          0.5
+              * (Math.max(0, outcome.concurrency() - attempt.ownCallsBefore)
+                  - attempt.copy.peerCalls);
+      attempt.copy.concurrencyReportedAt = now;
+    }
+    boolean disconnected =
+        outcome.code() == OutcomeCode.CONNECT_FAILED || outcome.code() == OutcomeCode.RESET;
+    // An error for a function that was never served says something about the function or the
+    // client, not about the worker.
     boolean error =
-        e.code() == OutcomeCode.ERROR && e.copyStatus() != CopyStatus.LOAD_FAILED && f.servedAt > 0;
-    boolean bad = dead || e.code() == OutcomeCode.TIMEOUT || error;
-    f.servedAt = e.code() == OutcomeCode.OK ? now : f.servedAt;
-    if (bad) {
-      // What one lost connection takes along counts once.
-      w.bad +=
-          a.missed > 0 && !dead || dead && now - w.diedAt < TICK
+        outcome.code() == OutcomeCode.ERROR
+            && outcome.copyStatus() != CopyStatus.LOAD_FAILED
+            && function.lastServedAt > 0;
+    boolean failed = disconnected || outcome.code() == OutcomeCode.TIMEOUT || error;
+    function.lastServedAt = outcome.code() == OutcomeCode.OK ? now : function.lastServedAt;
+    if (failed) {
+      // All attempts that fail with one lost connection count once.
+      worker.failureRate +=
+          attempt.missedDeadlines > 0 && !disconnected
+                  || disconnected && now - worker.lastConnectionLossAt < TICK_MICROS
               ? 0
-              : (e.code() == OutcomeCode.CONNECT_FAILED ? DEAD_STEP : BAD_STEP) * (1 - w.bad);
-      w.diedAt = dead ? now : w.diedAt;
-      w.lostAt = error ? w.lostAt : now;
-      if (w.benched) {
-        w.trialWait = Math.min(TRIAL_WAIT_MOST, 2 * w.trialWait);
-        w.trialAt = now + w.trialWait;
+              : (outcome.code() == OutcomeCode.CONNECT_FAILED
+                      ? CONNECT_FAILURE_STEP
+                      : FAILURE_RATE_STEP)
+                  * (1 - worker.failureRate);
+      worker.lastConnectionLossAt = disconnected ? now : worker.lastConnectionLossAt;
+      worker.lastUnresponsiveAt = error ? worker.lastUnresponsiveAt : now;
+      if (worker.benched) {
+        worker.trialBackoff = Math.min(MAX_TRIAL_BACKOFF_MICROS, 2 * worker.trialBackoff);
+        worker.nextTrialAt = now + worker.trialBackoff;
       }
-    } else if (e.code() == OutcomeCode.OK) {
-      w.bad *= w.benched ? 0.4 : 1 - BAD_STEP;
+    } else if (outcome.code() == OutcomeCode.OK) {
+      worker.failureRate *= worker.benched ? 0.4 : 1 - FAILURE_RATE_STEP;
     }
-    learn(a, e, bad);
+    recordReward(attempt, outcome, failed);
   }
 
   /**
-   * Benches workers that do worse than their better peers, by outcomes or by silence, whatever the
-   * cause; when nearly all look bad the cause is a common one, and the pool is kept whole.
+   * Benches workers whose failure rate exceeds that of the better ones, be it by outcomes or by
+   * silence. When nearly all look unhealthy the cause is probably a common one, and all stay in
+   * use.
    */
-  private void watchHealth() {
-    double[] bads = new double[ready.length];
-    double paceSpan =
-        clamp(PACE_CALLS * ready.length * mixSpan / Math.max(1, taken), RATE_SPAN, MIX_SPAN);
-    List<Attempt> late = new ArrayList<>();
-    loadsOut = 0;
-    warm = 0;
-    for (int i = 0; i < ready.length; i++) {
-      Worker w = ready[i];
-      bads[i] = w.bad;
-      w.pace += (1 - w.pace) * TICK / (paceSpan * SECOND);
-      watchOut(w, late);
-      if (cold(w)) {
-        fillColdBudget(w);
+  private void updateHealth() {
+    double[] failureRates = new double[readyWorkers.length];
+    double memorySeconds =
+        clamp(
+            LATENCY_RATIO_MEMORY_CALLS
+                * readyWorkers.length
+                * mixWindowSeconds
+                / Math.max(1, ownCalls),
+            RATE_WINDOW_SECONDS,
+            MAX_MIX_WINDOW_SECONDS);
+    List<Attempt> lateAttempts = new ArrayList<>();
+    loadsInFlight = 0;
+    warmCapacity = 0;
+    for (int i = 0; i < readyWorkers.length; i++) {
+      Worker worker = readyWorkers[i];
+      failureRates[i] = worker.failureRate;
+      worker.latencyRatio += (1 - worker.latencyRatio) * TICK_MICROS / (memorySeconds * SECOND);
+      checkAttemptsInFlight(worker, lateAttempts);
+      if (isCold(worker)) {
+        refillColdBudget(worker);
       } else {
-        warm += w.size;
+        warmCapacity += worker.size;
       }
     }
-    Arrays.sort(bads);
-    double better = bads.length == 0 ? 0 : bads[bads.length / 4];
-    watchHalls();
-    int count = 0;
-    int away = 0;
-    for (Worker w : ready) {
-      away += now < w.awayUntil ? 1 : 0;
-      boolean lost = hallLost[hall(w)];
-      boolean worse = lost || w.bad - better > (w.benched ? BAD_LIMIT / 2 : BAD_LIMIT);
-      if (worse && !w.benched) {
-        w.trialWait = TRIAL_WAIT;
-        w.trialAt = w.toldBad ? w.trialAt : now + TRIAL_WAIT;
-        log("worker " + (w.id & 0xffffffffL) + " benched: failing or silent");
+    Arrays.sort(failureRates);
+    double better = failureRates.length == 0 ? 0 : failureRates[failureRates.length / 4];
+    updateHallHealth();
+    int unhealthy = 0;
+    int rejecting = 0;
+    for (Worker worker : readyWorkers) {
+      rejecting += now < worker.drainSuspectedUntil ? 1 : 0;
+      boolean hallIsBenched = hallBenched[hallIndex(worker)];
+      boolean unhealthyNow =
+          hallIsBenched
+              || worker.failureRate - better
+                  > (worker.benched ? BENCH_FAILURE_RATE_EXCESS / 2 : BENCH_FAILURE_RATE_EXCESS);
+      if (unhealthyNow && !worker.benched) {
+        worker.trialBackoff = MIN_TRIAL_WAIT_MICROS;
+        worker.nextTrialAt =
+            worker.reportedUnhealthy ? worker.nextTrialAt : now + MIN_TRIAL_WAIT_MICROS;
+        log("worker " + (worker.id & 0xffffffffL) + " benched: failing or silent");
       }
-      w.benched = worse;
-      count += worse ? 1 : 0;
+      worker.benched = unhealthyNow;
+      unhealthy += unhealthyNow ? 1 : 0;
     }
-    commonCause = count > COMMON * ready.length;
-    rush = away > COMMON_AWAY * ready.length;
-    late.forEach(this::hedge);
+    commonFailure = unhealthy > COMMON_FAILURE_SHARE * readyWorkers.length;
+    commonRejection = rejecting > COMMON_REJECTION_SHARE * readyWorkers.length;
+    lateAttempts.forEach(this::hedge);
   }
 
   /**
-   * A hall whose workers fail one after another is benched whole until one serves or comes up anew,
-   * since a front end with few calls learns of each worker alone too late. It hurts where just
-   * those called fail.
+   * Benches a hall whose workers fail one after another, until one of them serves a call or
+   * restarts. A front end with few calls would otherwise detect each failed worker separately, and
+   * too late. The drawback: a hall is benched wrongly if just those workers fail that were called.
    */
-  private void watchHalls() {
-    int[] failing = new int[hallLost.length];
-    int[] well = new int[hallLost.length];
-    int[] all = new int[hallLost.length];
-    for (Worker w : ready) {
-      all[hall(w)]++;
-      failing[hall(w)] += w.lostAt > w.wellAt && now - w.lostAt < HALL_SPAN ? 1 : 0;
-      well[hall(w)] += w.wellAt >= w.lostAt && now - w.wellAt < HALL_SPAN / 2 ? 1 : 0;
-    }
-    for (int z = 0; z < hallLost.length; z++) {
-      boolean fails = failing[z] >= HALL_FAILS && failing[z] > HALL_FAILS * well[z];
-      if (!hallLost[z]
-          && fails
-          && all[z] < ready.length) { // the only hall there is can't be done without
-        hallLost[z] = true;
-        hallTrialAt[z] = now + TRIAL_WAIT;
+  private void updateHallHealth() {
+    int[] failing = new int[hallBenched.length];
+    int[] serving = new int[hallBenched.length];
+    int[] total = new int[hallBenched.length];
+    for (Worker worker : readyWorkers) {
+      total[hallIndex(worker)]++;
+      failing[hallIndex(worker)] +=
+          worker.lastUnresponsiveAt > worker.lastOkAt
+                  && now - worker.lastUnresponsiveAt < HALL_WINDOW_MICROS
+              ? 1
+              : 0;
+      serving[hallIndex(worker)] +=
+          worker.lastOkAt >= worker.lastUnresponsiveAt
+                  && now - worker.lastOkAt < HALL_WINDOW_MICROS / 2
+              ? 1
+              : 0;
+    }
+    for (int hall = 0; hall < hallBenched.length; hall++) {
+      boolean fails =
+          failing[hall] >= MIN_HALL_FAILURES && failing[hall] > MIN_HALL_FAILURES * serving[hall];
+      // The only hall cannot be spared.
+      if (!hallBenched[hall] && fails && total[hall] < readyWorkers.length) {
+        hallBenched[hall] = true;
+        hallNextTrialAt[hall] = now + MIN_TRIAL_WAIT_MICROS;
         log(
             "hall "
-                + z
+                + hall
                 + " benched: "
-                + failing[z]
+                + failing[hall]
                 + " of its workers fail, "
-                + well[z]
+                + serving[hall]
                 + " serve");
       }
     }
   }
 
   /**
-   * A call whose only attempt is late gets a second copy where a loaded copy surely stands, if its
-   * class allows that, so that a slow or silent worker or a lost answer does not cost it its aim.
-   * It hurts where the work itself is long, so it comes out of the budget for further attempts, and
-   * not under pressure.
+   * Sends a second attempt for a call whose only attempt is late, to a worker that certainly has a
+   * loaded copy, if the class allows it: a slow or silent worker or a lost answer should not cost
+   * the call its latency target. It wastes work where the call itself is long, so it is paid from
+   * the retry budget and is not done while calls are shed.
    */
-  private void hedge(Attempt a) {
-    PendingCall call = a.call;
+  private void hedge(Attempt attempt) {
+    PendingCall call = attempt.call;
     boolean allowed =
         settings.limits().hedgingAllowed()
-            && call.kind.idempotency() != Idempotency.NOT_IDEMPOTENT
-            && shed == 0;
-    if (!allowed || call.closed || call.outstanding != 1 || retries < 1) {
+            && call.callClass.idempotency() != Idempotency.NOT_IDEMPOTENT
+            && shedFraction == 0;
+    if (!allowed || call.closed || call.attemptsInFlight != 1 || retryBudget < 1) {
       return;
     }
     boolean ranBefore = call.mayHaveRun;
     call.hedged = true;
-    call.mayHaveRun(a); // it is out: a keyed copy stays in its hall
-    Worker w = draw(call, false);
+    // The first attempt is in flight, so a deduplicated call has to stay in its dedup scope.
+    call.recordPossibleRun(attempt);
+    Worker worker = sampleWorker(call, false);
     call.mayHaveRun = ranBefore;
-    if (w != null && belief(call.function, w) > RUMOUR) {
-      call.mayHaveRun(a);
-      retries--;
-      send(call, w);
+    if (worker != null && loadedProbability(call.function, worker) > MAX_INFERRED_PROBABILITY) {
+      call.recordPossibleRun(attempt);
+      retryBudget--;
+      send(call, worker);
     }
   }
 
-  /** A tenant's calls of one class: what a worker may turn away while it serves others. */
-  private int cell(PendingCall call) {
+  /**
+   * Returns the index of the call's tenant and class. A worker may reject the calls of one such
+   * pair while it serves others.
+   */
+  private int tenantClassIndex(PendingCall call) {
     return call.event.tenant() % Math.max(1, settings.tenants().size()) * settings.classes().size()
         + call.event.callClass();
   }
 
   /**
-   * A full worker answers at once and has few calls of ours, so it would attract more of them. It
-   * is passed over for the tenant and class that it turned away, for a wait that grows while it
-   * goes on; covers any quick rejection, also of one tenant alone. It hurts where one function
-   * alone is full.
+   * Makes calls of the same tenant and class skip the worker for a time that grows with repeated
+   * rejections. A full worker answers at once and holds few of our calls, so it would otherwise
+   * attract more of them. This covers any fast rejection, also of one tenant only. The drawback: it
+   * also affects other functions when just one is full.
    */
-  private void turnedAwayBy(Worker w, Attempt a) {
-    int cell = cell(a.call);
-    if (now >= w.fullUntil[cell]) {
-      w.fullWait[cell] =
-          Math.min(FULL_WAIT_MOST, Math.max(2 * w.fullWait[cell], (long) (a.unit / 4)));
-      w.fullUntil[cell] = now + w.fullWait[cell];
+  private void onRejected(Worker worker, Attempt attempt) {
+    int index = tenantClassIndex(attempt.call);
+    if (now >= worker.rejectedUntil[index]) {
+      worker.rejectionBackoff[index] =
+          Math.min(
+              MAX_REJECTION_BACKOFF_MICROS,
+              Math.max(2 * worker.rejectionBackoff[index], (long) (attempt.warmDuration / 4)));
+      worker.rejectedUntil[index] = now + worker.rejectionBackoff[index];
     }
-    press(FULL_PRESSURE);
+    addPressure(REJECTION_PRESSURE);
   }
 
   /**
-   * A worker that takes on nothing at all, and holds no call of the functions asked for either, may
-   * drain though the list does not say so: one that is full is at work. It is passed over whole,
-   * for a wait that doubles while the next call after it is turned away too. It hurts where one
-   * without memory to be had looks the same. Where answers don't tell what a worker holds, nothing
-   * tells the two apart.
+   * Detects a worker that probably drains although the list does not say so: it rejects everything
+   * and runs no call of the requested functions, whereas a full worker is busy. All calls skip it,
+   * for a time that doubles while the next call after it is rejected too. The drawback: a worker
+   * without free memory looks the same. Where answers do not report concurrency the two cannot be
+   * told apart, and nothing is done.
    */
-  private void watchForDrain(Worker w, Attempt a, int crowd) {
-    if (!settings.loadPolicy().reportsConcurrency() || crowd != 0) {
-      w.turnedAway = 0;
+  private void detectDrain(Worker worker, Attempt attempt, int concurrency) {
+    if (!settings.loadPolicy().reportsConcurrency() || concurrency != 0) {
+      worker.consecutiveRejections = 0;
       return;
     }
-    w.turnedAway++;
-    w.firstAwayAt = w.turnedAway == 1 ? now : w.firstAwayAt;
-    w.lastAwaySentAt = Math.max(w.lastAwaySentAt, a.sentAt);
-    if (w.turnedAway >= AWAY_SIGNS && now - w.firstAwayAt >= AWAY_SPAN && now >= w.awayUntil) {
-      w.awayWait = Math.min(AWAY_WAIT_MOST, Math.max(2 * w.awayWait, SECOND));
-      w.awayUntil = now + w.awayWait;
+    worker.consecutiveRejections++;
+    worker.firstRejectionAt = worker.consecutiveRejections == 1 ? now : worker.firstRejectionAt;
+    worker.lastRejectedSentAt = Math.max(worker.lastRejectedSentAt, attempt.sentAt);
+    if (worker.consecutiveRejections >= MIN_DRAIN_REJECTIONS
+        && now - worker.firstRejectionAt >= MIN_DRAIN_WINDOW_MICROS
+        && now >= worker.drainSuspectedUntil) {
+      worker.drainBackoff =
+          Math.min(MAX_DRAIN_BACKOFF_MICROS, Math.max(2 * worker.drainBackoff, SECOND));
+      worker.drainSuspectedUntil = now + worker.drainBackoff;
     }
   }
 
-  /** Not where most of them turn all away, which a rush explains. */
-  private boolean turnsAway(Worker w) {
-    return now < w.awayUntil && !rush;
+  /**
+   * Returns whether the worker is skipped as probably draining. Not while most workers reject
+   * everything, which a load peak explains.
+   */
+  private boolean isDrainSuspected(Worker worker) {
+    return now < worker.drainSuspectedUntil && !commonRejection;
   }
 
   /**
-   * A call was taken on: one sent behind all those that were turned away shows that work is
-   * welcome.
+   * Handles an accepted call. One that was sent after all rejected ones shows that the worker
+   * accepts work.
    */
-  private void tookOn(Worker w, Attempt a) {
-    if (a.sentAt > w.lastAwaySentAt) {
-      w.turnedAway = 0;
-      w.awayWait = 0;
-      w.awayUntil = 0;
+  private void onAccepted(Worker worker, Attempt attempt) {
+    if (attempt.sentAt > worker.lastRejectedSentAt) {
+      worker.consecutiveRejections = 0;
+      worker.drainBackoff = 0;
+      worker.drainSuspectedUntil = 0;
     }
   }
 
   /**
-   * An attempt that is out for much longer than expected shows a sick worker before any time-out;
-   * it counts as a bad outcome, and again each time that as much has passed. Covers hangs and lost
-   * answers. The ages of those out also show a slow worker before its answers do. It hurts where
-   * one call alone is very long.
+   * Counts an attempt that is in flight for much longer than expected as a failure, and again after
+   * each further such interval. This detects hangs and lost answers before any timeout. The ages of
+   * the attempts also show a slow worker before its answers do. The drawback: a single very long
+   * call counts as a failure too.
    */
-  private void watchOut(Worker w, List<Attempt> late) {
-    double age = 0;
-    double usual = 0;
-    for (Attempt a : w.out.values()) {
-      double one = Math.max(a.unit, classWork[a.call.event.callClass()].value);
-      double since =
-          now - a.sentAt - (a.cold ? 1.5 : 1) * a.load; // a belief in a copy may be wrong
-      usual += one;
-      loadsOut += a.begins && now - a.sentAt < OVERDUE * a.load ? 1 : 0; // not one that hangs
-      age += Math.max(0, since + (a.cold ? 0 : a.load));
-      if (since > (a.missed + 1) * OVERDUE * one * Math.max(1, w.pace)) {
-        a.missed++;
-        w.lostAt = now;
-        w.bad += BAD_STEP * (1 - w.bad);
+  private void checkAttemptsInFlight(Worker worker, List<Attempt> lateAttempts) {
+    double ageSum = 0;
+    double expectedSum = 0;
+    for (Attempt attempt : worker.attempts.values()) {
+      double expected =
+          Math.max(attempt.warmDuration, classDuration[attempt.call.event.callClass()].value);
+      // The estimate that a copy is loaded may be wrong, so the load time is allowed for in any
+      // case.
+      double excess = now - attempt.sentAt - (attempt.expectsLoad ? 1.5 : 1) * attempt.loadTime;
+      expectedSum += expected;
+      // A load that hangs does not count.
+      loadsInFlight +=
+          attempt.startsLoad && now - attempt.sentAt < OVERDUE_RATIO * attempt.loadTime ? 1 : 0;
+      ageSum += Math.max(0, excess + (attempt.expectsLoad ? 0 : attempt.loadTime));
+      if (excess
+          > (attempt.missedDeadlines + 1)
+              * OVERDUE_RATIO
+              * expected
+              * Math.max(1, worker.latencyRatio)) {
+        attempt.missedDeadlines++;
+        worker.lastUnresponsiveAt = now;
+        worker.failureRate += FAILURE_RATE_STEP * (1 - worker.failureRate);
       }
-      if (now - a.sentAt
+      if (now - attempt.sentAt
           > Math.max(
-              OVERDUE * one * Math.max(1, w.pace), HEDGE_AIM * a.call.kind.latencyTarget())) {
-        late.add(a);
+              OVERDUE_RATIO * expected * Math.max(1, worker.latencyRatio),
+              MIN_HEDGE_DELAY_SHARE * attempt.call.callClass.latencyTarget())) {
+        lateAttempts.add(attempt);
       }
     }
-    w.lag = age / Math.max(1, usual);
+    worker.inFlightLatencyRatio = ageSum / Math.max(1, expectedSum);
   }
 
-  /** A benched worker gets a safe call now and then, alone, to show that it is back. */
-  private Worker trial(PendingCall call) {
-    if (call.kind.idempotency() != Idempotency.IDEMPOTENT || call.sent > 0 || commonCause) {
+  /**
+   * Returns a benched worker that is due for a trial, or null. Trials are single, idempotent calls
+   * that show whether the worker has recovered.
+   */
+  private Worker trialWorker(PendingCall call) {
+    if (call.callClass.idempotency() != Idempotency.IDEMPOTENT
+        || call.attemptsSent > 0
+        || commonFailure) {
       return null;
     }
-    for (Worker w : ready) {
-      int z = hall(w);
-      boolean due = now >= w.trialAt && (!hallLost[z] || now >= hallTrialAt[z]);
-      if (w.benched && due && permitted(call, w) && !outlasts(call, w)) {
-        w.trialAt = now + w.trialWait;
-        hallTrialAt[z] = now + TRIAL_WAIT;
-        return w;
+    for (Worker worker : readyWorkers) {
+      int hall = hallIndex(worker);
+      boolean due =
+          now >= worker.nextTrialAt && (!hallBenched[hall] || now >= hallNextTrialAt[hall]);
+      if (worker.benched && due && maySend(call, worker) && !loadOutlastsCall(call, worker)) {
+        worker.nextTrialAt = now + worker.trialBackoff;
+        hallNextTrialAt[hall] = now + MIN_TRIAL_WAIT_MICROS;
+        return worker;
       }
     }
     return null;
@@ -1187,122 +1514,151 @@
   // ---------------------------------------------------------------- admission
 
   /**
-   * Under pressure the calls of least worth for their work are refused at once, over-share tenants
-   * first.
+   * Decides whether to refuse an arriving call. While calls are shed, those with the least value
+   * for their work are refused, and those of tenants above their share first.
    */
-  private boolean turnedAway(PendingCall call) {
-    meanAim += SLOW_MEAN * (call.kind.latencyTarget() - meanAim);
-    double value = worthOfWork(call);
+  private boolean shouldShed(PendingCall call) {
+    meanLatencyTarget += SLOW_MEAN_STEP * (call.callClass.latencyTarget() - meanLatencyTarget);
+    double value = valueOf(call);
     double below = 0;
-    int n = Math.min(valueCount, VALUES);
+    int count = Math.min(recentValueCount, RECENT_VALUE_COUNT);
     double tie = random.nextDouble();
-    for (int i = 0; i < n; i++) {
-      below += values[i] < value ? 1 : values[i] == value ? tie : 0;
+    for (int i = 0; i < count; i++) {
+      below += recentValues[i] < value ? 1 : recentValues[i] == value ? tie : 0;
     }
-    values[valueCount++ % VALUES] = value;
-    return (below + random.nextDouble()) / (n + 1) < shed;
+    recentValues[recentValueCount++ % RECENT_VALUE_COUNT] = value;
+    return (below + random.nextDouble()) / (count + 1) < shedFraction;
   }
 
-  private double worthOfWork(PendingCall call) {
-    double worth = call.kind.value();
-    if (!settings.tenants().isEmpty() && call.event.tenant() < tenantRate.length) {
-      tenantRate[call.event.tenant()] += 1 / RATE_SPAN;
-      double quota = settings.tenants().get(call.event.tenant()).quotaPerSecond() / divisor;
-      boolean over = random.nextDouble() < 1 - quota / tenantRate[call.event.tenant()];
-      worth *= over ? settings.overShareValueFactor() : 1;
+  private double valueOf(PendingCall call) {
+    double value = call.callClass.value();
+    if (!settings.tenants().isEmpty() && call.event.tenant() < tenantCallRate.length) {
+      tenantCallRate[call.event.tenant()] += 1 / RATE_WINDOW_SECONDS;
+      double quota = settings.tenants().get(call.event.tenant()).quotaPerSecond() / shareDivisor;
+      boolean overShare = random.nextDouble() < 1 - quota / tenantCallRate[call.event.tenant()];
+      value *= overShare ? settings.overShareValueFactor() : 1;
     }
-    return settings.valueByWork() ? worth : worth / unit(call);
+    return settings.valueByWork() ? value : value / warmDuration(call);
   }
 
-  private void press(double timeOverAim) {
-    pressure += Math.min(4, timeOverAim);
-    pressed++;
+  private void addPressure(double latencyOverTarget) {
+    pressureSum += Math.min(4, latencyOverTarget);
+    pressureCount++;
   }
 
   /**
-   * Holds the mean time in flight over the aim to a bound, by the answers of the last second and,
-   * sooner, by Little's law: calls in flight over the rate of answers. Both are shrunk towards a
-   * few calls in good time.
+   * Controls the shed fraction so that the mean latency over the latency target stays below a
+   * bound. The latency is taken from the answers of the last second and, sooner, from Little's law:
+   * calls in flight over the rate of answers. Both are shrunk towards a few answers in time.
    */
-  private void steerShedding() {
-    double out =
-        PRESSURE_CALLS * PRESSURE_USUAL * meanAim / SECOND; // an idle front end is at the usual
-    for (Worker w : ready) {
-      for (Attempt a :
-          w.out.values()) { // what is stuck on a sick worker, or loads, is no sign of overload
-        out += w.benched || a.call.closed || a.cold && now - a.sentAt < OVERDUE * a.load ? 0 : 1;
+  private void updateShedding() {
+    // An idle front end has the prior pressure.
+    double callsInFlight = PRESSURE_PRIOR_CALLS * PRESSURE_PRIOR * meanLatencyTarget / SECOND;
+    for (Worker worker : readyWorkers) {
+      // Attempts on an unhealthy worker and those that wait for a load are no sign of overload.
+      for (Attempt attempt : worker.attempts.values()) {
+        callsInFlight +=
+            worker.benched
+                    || attempt.call.closed
+                    || attempt.expectsLoad
+                        && now - attempt.sentAt < OVERDUE_RATIO * attempt.loadTime
+                ? 0
+                : 1;
       }
     }
-    double seen = (pressure + PRESSURE_CALLS * PRESSURE_USUAL) / (pressed + PRESSURE_CALLS);
-    double little = out * SECOND / (pressed + PRESSURE_CALLS) / meanAim;
-    double error = Math.max(seen, Math.min(little, LITTLE_MOST * seen)) - PRESSURE_AIM;
-    if (shed == 0 && error > 0) {
-      log("shedding: answers take " + Math.round(100 * (error + PRESSURE_AIM)) + "% of their aim");
-    }
-    shed =
+    double observedPressure =
+        (pressureSum + PRESSURE_PRIOR_CALLS * PRESSURE_PRIOR)
+            / (pressureCount + PRESSURE_PRIOR_CALLS);
+    double littlePressure =
+        callsInFlight * SECOND / (pressureCount + PRESSURE_PRIOR_CALLS) / meanLatencyTarget;
+    double error =
+        Math.max(observedPressure, Math.min(littlePressure, MAX_LITTLE_RATIO * observedPressure))
+            - MAX_PRESSURE;
+    if (shedFraction == 0 && error > 0) {
+      log(
+          "shedding load: answers take "
+              + Math.round(100 * (error + MAX_PRESSURE))
+              + "% of their latency target");
+    }
+    shedFraction =
         clamp(
-            shed + (error > 0 ? Math.min(SHED_RISE, SHED_GAIN * error) : -SHED_FALL), 0, SHED_MOST);
-    pressure *= PRESSURE_FADE;
-    pressed *= PRESSURE_FADE;
+            shedFraction
+                + (error > 0 ? Math.min(MAX_SHED_INCREASE, SHED_GAIN * error) : -SHED_DECREASE),
+            0,
+            MAX_SHED_FRACTION);
+    pressureSum *= PRESSURE_DECAY;
+    pressureCount *= PRESSURE_DECAY;
   }
 
   // ---------------------------------------------------------------- learning
 
-  /** Payoff: minus the time in flight in parts of the time allowed; a failure costs all of it. */
-  private void learn(Attempt a, AttemptOutcome e, boolean bad) {
-    if (a.gradient != null && (e.code() == OutcomeCode.OK || bad)) {
-      double allowed = Math.max(1, a.call.deadline - a.sentAt);
-      a.payoff = bad ? -1 : -Math.min(1, e.elapsed() / allowed);
-      batch.add(a);
-    }
-    if (batch.size() == BATCH) {
-      step();
+  /**
+   * Adds a completed attempt to the batch. The reward is minus the latency as a share of the time
+   * allowed, and -1 for a failure.
+   */
+  private void recordReward(Attempt attempt, AttemptOutcome outcome, boolean failed) {
+    if (attempt.gradient != null && (outcome.code() == OutcomeCode.OK || failed)) {
+      double allowed = Math.max(1, attempt.call.deadline - attempt.sentAt);
+      attempt.reward = failed ? -1 : -Math.min(1, outcome.elapsed() / allowed);
+      batch.add(attempt);
+    }
+    if (batch.size() == BATCH_SIZE) {
+      updatePolicy();
       batch.clear();
     }
   }
 
   /**
-   * One clipped step; the ratio of new to old chance is taken to first order in the change of
-   * weights.
+   * Updates critic and weights from one batch, with clipping as in PPO. The ratio of new to old
+   * probability is approximated to first order in the change of the weights.
    */
-  private void step() {
+  private void updatePolicy() {
     double[] old = weights.clone();
-    for (Attempt a : batch) {
-      a.advantage = a.payoff - dot(critic, a.mean) - critic[FEATURES];
-      payoffSpread += SLOW_MEAN / 4 * (Math.abs(a.advantage) - payoffSpread);
-      for (int k = 0; k < FEATURES; k++) {
-        critic[k] += CRITIC_STEP * a.advantage * a.mean[k];
+    for (Attempt attempt : batch) {
+      attempt.advantage =
+          attempt.reward - dot(critic, attempt.meanFeatures) - critic[FEATURE_COUNT];
+      advantageScale += SLOW_MEAN_STEP / 4 * (Math.abs(attempt.advantage) - advantageScale);
+      for (int k = 0; k < FEATURE_COUNT; k++) {
+        critic[k] += CRITIC_LEARNING_RATE * attempt.advantage * attempt.meanFeatures[k];
       }
-      critic[FEATURES] += CRITIC_STEP * a.advantage;
+      critic[FEATURE_COUNT] += CRITIC_LEARNING_RATE * attempt.advantage;
     }
     for (int epoch = 0; epoch < EPOCHS; epoch++) {
-      for (Attempt a : batch) {
+      for (Attempt attempt : batch) {
         double ratio =
-            StrictMath.exp(clamp(dot(weights, a.gradient) - dot(old, a.gradient), -5, 5));
-        boolean clipped = a.advantage > 0 ? ratio > 1 + CLIP : ratio < 1 - CLIP;
-        double size = STEP / BATCH * clamp(a.advantage / (payoffSpread + 0.01), -3, 3) * ratio;
-        for (int k = 0; k < FEATURES && !clipped; k++) {
-          weights[k] += size * a.gradient[k];
+            StrictMath.exp(
+                clamp(dot(weights, attempt.gradient) - dot(old, attempt.gradient), -5, 5));
+        boolean clipped = attempt.advantage > 0 ? ratio > 1 + CLIP_RANGE : ratio < 1 - CLIP_RANGE;
+        double stepSize =
+            LEARNING_RATE
+                / BATCH_SIZE
+                * clamp(attempt.advantage / (advantageScale + 0.01), -3, 3)
+                * ratio;
+        for (int k = 0; k < FEATURE_COUNT && !clipped; k++) {
+          weights[k] += stepSize * attempt.gradient[k];
         }
       }
     }
-    for (int k = 0; k < FEATURES; k++) {
-      double reach = REACH * Math.abs(START[k]) + REACH;
+    for (int k = 0; k < FEATURE_COUNT; k++) {
+      double maxDrift = MAX_WEIGHT_DRIFT * Math.abs(INITIAL_WEIGHTS[k]) + MAX_WEIGHT_DRIFT;
       weights[k] =
-          clamp(weights[k] + PULL * (START[k] - weights[k]), START[k] - reach, START[k] + reach);
+          clamp(
+              weights[k] + WEIGHT_DECAY * (INITIAL_WEIGHTS[k] - weights[k]),
+              INITIAL_WEIGHTS[k] - maxDrift,
+              INITIAL_WEIGHTS[k] + maxDrift);
     }
   }
 
-  // ---------------------------------------------------------------- small parts
+  // ---------------------------------------------------------------- actions
 
-  private void act(Action action) {
-    out.accept(action);
+  private void emit(Action action) {
+    actionSink.accept(action);
   }
 
   private void log(String text) {
-    if (now - lastLog >= SECOND / 2) {
-      lastLog = now;
-      act(new Log(text));
+    if (now - lastLogAt >= SECOND / 2) {
+      lastLogAt = now;
+      emit(new Log(text));
     }
   }
 }
--- a/src/main/java/saddlestall/Dispatcher.java
+++ b/src/main/java/saddlestall/Dispatcher.java
@@ -4,27 +4,35 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: settings, events and actions of one front end. Types only,
- * no logic.
+ * The interface of the decision module: settings, events and actions of one front end.
  *
  * <p>The embedding front end calls {@link #handle} from one thread, with events in the order in
  * which they happened and a clock that never goes back, and carries out the actions in the order
- * given. It owes exactly one {@link AttemptOutcome} for each {@link Send} and one {@link
+ * given. It must deliver exactly one {@link AttemptOutcome} for each {@link Send} and one {@link
  * PreloadResult} for each {@link Preload}. All times are in microseconds; an absent number is 0.
  */
 public interface Dispatcher {
 
-  /** Takes one event at clock time {@code now} and passes the actions it leads to, in order. */
+  /** Handles one event at clock time {@code now} and passes on the resulting actions in order. */
   void handle(long now, Event event, Consumer<Action> actions);
 
-  /** Passes on what this module saw for itself, as others would be told of it. */
-  void exportObservations(long now, Consumer<Observation> facts);
+  /** Passes on what this front end has observed itself, for its peers. */
+  void exportObservations(long now, Consumer<Observation> observations);
 
   // ---------------------------------------------------------------- settings
 
   /**
-   * What one front end is told at its start. Places, classes and tenants are known by position
-   * only.
+   * Settings of one front end, fixed at its start. Halls, classes and tenants are identified by
+   * their index.
+   *
+   * @param frontEndIndex index of this front end
+   * @param frontEndCount number of front ends, until a {@link FleetSizeUpdate} arrives
+   * @param zone the hall of this front end
+   * @param overShareValueFactor factor on the value of calls of a tenant above its share
+   * @param valueByWork whether the value of a call is given per unit of its work
+   * @param subscribesToWorkerList whether the worker list is sent only after a {@link Subscribe}
+   * @param weightKind what the ratings on the worker list mean
+   * @param kindMemoryMb memory of each kind of worker in MB, 0 if unknown
    */
   record Settings(
       int frontEndIndex,
@@ -44,23 +52,31 @@
       Costs costs) {
 
     /**
-     * A worker's size against the others', as its rating or else its kind's memory tells it; 1
-     * where neither does.
+     * Returns a worker's capacity relative to the others: its rating, else the memory of its kind
+     * over the mean of all kinds, else 1.
      */
-    double relativeSize(WorkerEntry m) {
+    double relativeSize(WorkerEntry entry) {
       double memory = 1;
-      if (m.kind() < kindMemoryMb.size() && kindMemoryMb.get(m.kind()) > 0) {
+      if (entry.kind() < kindMemoryMb.size() && kindMemoryMb.get(entry.kind()) > 0) {
         memory =
-            kindMemoryMb.get(m.kind())
+            kindMemoryMb.get(entry.kind())
                 / kindMemoryMb.stream().mapToDouble(x -> x).average().orElse(1);
       }
       boolean rated = weightKind == WeightKind.NOMINAL || weightKind == WeightKind.ROUGH;
-      return rated && m.rating() > 0 ? m.rating() : memory;
+      return rated && entry.rating() > 0 ? entry.rating() : memory;
     }
   }
 
   /**
-   * One class of calls. {@code dedupScope} and {@code dedupWindow} matter for keyed classes only.
+   * A class of calls.
+   *
+   * @param latencyTarget latency within which an answer has its full value
+   * @param timeout time after which the client gives up
+   * @param dedupScope workers that drop repeats; for deduplicated classes only
+   * @param dedupWindow how long they drop repeats; for deduplicated classes only
+   * @param value value of an answer within the latency target
+   * @param lateValue value of a later answer
+   * @param streaming whether answers are streamed
    */
   record CallClass(
       long latencyTarget,
@@ -73,10 +89,23 @@
       double lateValue,
       boolean streaming) {}
 
-  /** A tenant's share: calls per second over all front ends. */
+  /**
+   * A tenant.
+   *
+   * @param share its share of all calls
+   * @param quotaPerSecond calls per second it may make, over all front ends
+   */
   record Tenant(double share, double quotaPerSecond) {}
 
-  /** What the site allows. */
+  /**
+   * What the deployment permits.
+   *
+   * @param cancelAllowed whether attempts may be canceled
+   * @param hedgingAllowed whether a second attempt may run beside the first
+   * @param maxRetryAfter longest retry delay to ask of a client, in microseconds
+   * @param maxAttempts attempts per call, including the first
+   * @param connectTimeout longest time to establish a connection, in microseconds
+   */
   record Limits(
       boolean cancelAllowed,
       boolean hedgingAllowed,
@@ -88,8 +117,14 @@
       long connectTimeout) {}
 
   /**
-   * Figures of the rules; {@code initialColdCapacity} is the share of its capacity that a cold
-   * worker starts with.
+   * Parameters of the rules that the front end must keep. Durations are in microseconds.
+   *
+   * @param drainGrace how long after the list reports a worker as draining it may still get calls
+   * @param coldDuration how long a worker is cold after its start
+   * @param initialColdCapacity share of its capacity that a cold worker has at its start
+   * @param overloadWindow window over which the load of a cold worker is measured
+   * @param overloadMultiple multiple of its share of a warm worker's load that overloads a cold
+   *     worker; 0 if cold workers cannot be overloaded
    */
   record Rules(
       long answerSlack,
@@ -100,21 +135,33 @@
       long overloadWindow,
       double overloadMultiple) {
 
-    /** Whether a worker that came up then may still fall over. */
-    boolean isCold(long now, long cameUp) {
-      return cameUp > 0 && now - cameUp < coldDuration && overloadMultiple > 0;
+    /** Returns whether a worker started at that time is cold, so that calls can overload it. */
+    boolean isCold(long now, long startedAt) {
+      return startedAt > 0 && now - startedAt < coldDuration && overloadMultiple > 0;
     }
 
-    /** The part of its capacity that it has by now, at the least. */
-    double warmUpFraction(long now, long cameUp) {
-      return isCold(now, cameUp)
+    /** Returns the share of its capacity that such a worker has at least. */
+    double warmUpFraction(long now, long startedAt) {
+      return isCold(now, startedAt)
           ? initialColdCapacity
-              + (1 - initialColdCapacity) * Math.max(0, (now - cameUp) / (double) coldDuration)
+              + (1 - initialColdCapacity) * Math.max(0, (now - startedAt) / (double) coldDuration)
           : 1;
     }
   }
 
-  /** Loading of functions. {@code preloadWindow} 0: orders to load are not rationed. */
+  /**
+   * Loading of functions.
+   *
+   * @param loadsOnMiss whether a call for a function that is not loaded loads it
+   * @param mayPreload whether preloads may be sent
+   * @param preloadWindow window of the preload limit in microseconds; 0 if preloads are not limited
+   * @param freePreloads preloads per window that need no calls
+   * @param preloadsPerCall further preloads per window for each call in it
+   * @param idleRetention how long workers keep idle copies, in microseconds; 0 if unknown
+   * @param reportsCopyStatus whether answers report the {@link CopyStatus}
+   * @param reportsConcurrency whether answers report the concurrency of the copy
+   * @param idleCost cost of an idle copy
+   */
   record LoadPolicy(
       boolean loadsOnMiss,
       boolean mayPreload,
@@ -126,10 +173,10 @@
       boolean reportsConcurrency,
       double idleCost) {}
 
-  /** Which values load reports hold, by position, and how they come. */
+  /** Which values load reports hold, in order, and how the reports arrive. */
   record LoadReportFormat(ReportDelivery delivery, List<ReportField> fields) {}
 
-  /** Points of the result for each unit; used only to weigh what is optional. */
+  /** Cost of each unit, in points of the result; used only to weigh optional actions. */
   record Costs(
       double probe,
       double crossZone,
@@ -138,14 +185,14 @@
       double origin,
       double peerMessage) {}
 
-  /** What a repeat of a call may do: no harm, none under its key for a while, or harm. */
+  /** What a repeat of a call may do: no harm, no harm within the dedup window, or harm. */
   enum Idempotency {
     IDEMPOTENT,
     DEDUPLICATED,
     NOT_IDEMPOTENT
   }
 
-  /** Which workers drop a repeat of a keyed call. */
+  /** Which workers drop a repeat of a deduplicated call: all, those in the same hall or cell. */
   enum DedupScope {
     ALL,
     ZONE,
@@ -160,14 +207,14 @@
     LIVE
   }
 
-  /** How load reports come. */
+  /** How load reports arrive: with answers, in reply to probes, or not at all. */
   enum ReportDelivery {
     ANSWERS,
     PROBES,
     NONE
   }
 
-  /** What a value of a load report is. */
+  /** Meaning of a value in a load report. */
   enum ReportField {
     OUTSTANDING,
     QUEUE,
@@ -198,12 +245,12 @@
           CopyRequested,
           LeasesExpiring {}
 
-  /** News of the list of workers. */
+  /** A change of the worker list. */
   record WorkerListUpdate(ListKind kind, List<WorkerEntry> workers) implements Event {}
 
   /**
-   * Changes of the list, the whole of it, the whole as it was last held, or a request for it that
-   * failed.
+   * Content of a list update: changes, the complete list, the complete list from a cache, or a
+   * failed request.
    */
   enum ListKind {
     DELTA,
@@ -213,19 +260,36 @@
   }
 
   /**
-   * One line of the list. {@code startedAt} is the clock time of the last start, 0 for long past.
+   * An entry of the worker list.
+   *
+   * @param zone hall of the worker
+   * @param kind index into the settings of the kinds of workers
+   * @param cell group of workers that share deduplication
+   * @param rating see {@link WeightKind}; 0 if absent
+   * @param startedAt clock time of the last start, 0 if long past
    */
   record WorkerEntry(
       int worker, int zone, int kind, int cell, WorkerState state, double rating, long startedAt) {}
 
-  /** What the list says of a worker; one that drains finishes its work and gets nothing new. */
+  /**
+   * State of a worker on the list. A draining worker finishes its work and must get nothing new.
+   */
   enum WorkerState {
     GONE,
     READY,
     DRAINING
   }
 
-  /** A client's call; it is owed exactly one final answer within {@code budget}. */
+  /**
+   * A client's call. It must get exactly one final answer within {@code budget}.
+   *
+   * @param budget time that the client waits, in microseconds
+   * @param expectedDuration duration that the client expects, in microseconds; 0 if not given
+   * @param lanes calls that one copy of the function runs concurrently
+   * @param memoryMb memory of the function in MB
+   * @param retry whether the client sends the call again after a refusal
+   * @param loadTime load time of the function in microseconds; 0 if not given
+   */
   record CallArrival(
       int id,
       long budget,
@@ -240,12 +304,16 @@
       long loadTime)
       implements Event {}
 
-  /** The streamed answer of an attempt has begun; from now on no deadline holds. */
+  /** The streamed answer of an attempt has started; from now on the call has no deadline. */
   record StreamStarted(int call, int attempt, int worker) implements Event {}
 
   /**
-   * How an attempt ended. {@code callClosed}: the call needs no answer any more. {@code
-   * concurrency} -1: not told.
+   * How an attempt ended.
+   *
+   * @param elapsed time since the send, in microseconds
+   * @param callClosed whether the call needs no further answer
+   * @param concurrency calls at the function's copy; -1 if not reported
+   * @param loadReport values in the order of the {@link LoadReportFormat}; null if absent
    */
   record AttemptOutcome(
       int call,
@@ -259,7 +327,7 @@
       float[] loadReport)
       implements Event {}
 
-  /** What an outcome told of the function's copy. */
+  /** What an answer reported of the function's copy; {@code NONE} if nothing. */
   enum CopyStatus {
     NONE,
     WARM,
@@ -268,7 +336,7 @@
     LOAD_FAILED
   }
 
-  /** Outcome codes; {@code notRun}: proves that the attempt had no effect. */
+  /** Outcome codes of attempts, preloads and probes. */
   enum OutcomeCode {
     OK(false),
     ERROR(false),
@@ -280,6 +348,7 @@
     MOOT(true),
     MISS(true);
 
+    /** Whether the code proves that the attempt had no effect. */
     public final boolean notRun;
 
     OutcomeCode(boolean notRun) {
@@ -287,56 +356,75 @@
     }
   }
 
-  /** The client has gone; nothing is owed any more. */
+  /** The client has disconnected; the call needs no answer any more. */
   record ClientDisconnected(int call) implements Event {}
 
-  /** A timer has run out. */
+  /** A timer started with {@link StartTimer} has expired. */
   record TimerFired(long token) implements Event {}
 
-  /** The answer to a {@link Preload}. */
+  /**
+   * The answer to a {@link Preload}.
+   *
+   * @param elapsed time since the send, in microseconds
+   * @param copies loaded copies at the worker
+   */
   record PreloadResult(long elapsed, int copies, int worker, OutcomeCode code, long function)
       implements Event {}
 
-  /** Bytes from a peer. */
+  /** A message from a peer. */
   record PeerMessage(int peer, byte[] bytes) implements Event {}
 
-  /** The answer to a {@link Probe}. */
+  /** The answer to a {@link Probe}; {@code elapsed} is in microseconds. */
   record ProbeResult(long elapsed, int worker, OutcomeCode code, float[] loadReport)
       implements Event {}
 
   /**
-   * In the place of the settings' number of front ends from now on: how many there likely are, and
-   * by how much what belongs to all of them is divided here, which is no less.
+   * Replaces the number of front ends from the settings.
+   *
+   * @param count estimated number of front ends
+   * @param divisor divisor for this front end's share of what all share; at least {@code count}
    */
   record FleetSizeUpdate(double count, double divisor) implements Event {}
 
-  /** Others want a copy of a function at a worker, as the last one is about to go. */
+  /** Peers request a copy of a function at a worker, since the last copy is about to be removed. */
   record CopyRequested(int worker, long function) implements Event {}
 
   /**
-   * The permission to send to these workers ends soon, as the source of the list is out of reach,
-   * unless they take on work: a call or an order. The soonest first; for the first {@code urgent}
-   * of them it is very soon.
+   * The leases of these workers expire soon, because the source of the worker list is unreachable.
+   * A worker that accepts a call or a preload renews its lease.
+   *
+   * @param workers the workers, the soonest to expire first
+   * @param urgent number of workers at the head of the list whose leases expire very soon
    */
   record LeasesExpiring(List<Integer> workers, int urgent) implements Event {}
 
   /**
-   * What another instance saw {@code age} ago; {@code weight}, up to 1, is what it is worth at that
-   * age.
+   * What another front end observed {@code age} microseconds ago. The {@code weight}, up to 1, is
+   * its confidence at that age.
    */
   sealed interface Observation extends Event
       permits CopyObservation, WorkerObservation, FunctionObservation {}
 
-  /** A copy of a function stood loaded at a worker. */
+  /** A loaded copy of a function was seen at a worker. */
   record CopyObservation(int worker, long function, long age, double weight)
       implements Observation {}
 
-  /** How a worker did: its time over the usual, and its share of bad outcomes. */
+  /**
+   * The health of a worker.
+   *
+   * @param latencyRatio observed over expected latency
+   * @param failureRate share of failed attempts
+   */
   record WorkerObservation(
       int worker, double latencyRatio, double failureRate, long age, double weight)
       implements Observation {}
 
-  /** A function was served; {@code recentCalls} calls of late, decaying. */
+  /**
+   * A function was served.
+   *
+   * @param loadTime load time in microseconds; 0 if not known
+   * @param recentCalls decaying number of recent calls
+   */
   record FunctionObservation(
       long function,
       int callClass,
@@ -349,7 +437,7 @@
 
   // ---------------------------------------------------------------- actions
 
-  /** Something to be done. */
+  /** An action for the embedding front end. */
   sealed interface Action
       permits Send,
           Refuse,
@@ -365,45 +453,51 @@
           Unload,
           CloseIdleConnections {}
 
-  /** Starts an attempt; the attempts of a call are numbered from 0 in the order of their sends. */
+  /**
+   * Starts an attempt. The attempts of a call are numbered from 0 in the order of their sends. The
+   * timeout is in microseconds.
+   */
   record Send(int call, int worker, long timeout) implements Action {}
 
-  /** Final answer: not done, trying again does no harm. */
+  /**
+   * Final answer: the call was not executed and a retry is safe, after {@code retryAfter}
+   * microseconds.
+   */
   record Refuse(int call, long retryAfter) implements Action {}
 
-  /** Final answer: not served, nothing promised. */
+  /** Final answer: the call failed and may have been executed. */
   record Fail(int call) implements Action {}
 
-  /** Stops waiting for an attempt. */
+  /** Cancels an attempt. */
   record Cancel(int call, int attempt) implements Action {}
 
   /**
-   * Asks for a {@link TimerFired} after {@code delay}. A token of 0 or more names a call, and is
-   * void once that is over.
+   * Requests a {@link TimerFired} after {@code delay} microseconds. A token of 0 or more is the id
+   * of a call, and the timer is void once that call has its final answer.
    */
   record StartTimer(long delay, long token) implements Action {}
 
-  /** Asks a worker how it is. */
+  /** Requests a load report from a worker. */
   record Probe(int worker) implements Action {}
 
-  /** Sends bytes to one peer, or to all with -1. */
+  /** Sends a message to one peer, or to all if {@code peer} is -1. */
   record SendToPeer(int peer, byte[] bytes) implements Action {}
 
-  /** A line for the operators. */
+  /** A log line for the operators. */
   record Log(String text) implements Action {}
 
-  /** Asks to be told of changes of the list. */
+  /** Subscribes to changes of the worker list, or unsubscribes. */
   record Subscribe(boolean on) implements Action {}
 
-  /** Asks for the whole list once. */
+  /** Requests the complete worker list once. */
   record FetchWorkerList() implements Action {}
 
-  /** Orders at least {@code copies} loaded copies of a function. */
+  /** Requests at least {@code copies} loaded copies of a function. */
   record Preload(int worker, long function, int copies) implements Action {}
 
-  /** Unloads a function's idle copies. */
+  /** Unloads the idle copies of a function. */
   record Unload(int worker, long function) implements Action {}
 
-  /** Closes idle connections. */
+  /** Closes idle connections to a worker. */
   record CloseIdleConnections(int worker) implements Action {}
 }
--- a/src/main/java/saddlestall/DispatcherState.java
+++ b/src/main/java/saddlestall/DispatcherState.java
@@ -20,256 +20,333 @@
 import saddlestall.Dispatcher.WorkerState;
 
 /**
- * What one front end remembers: fields, written and read by {@link AdaptiveDispatcher}, which
- * decides what they mean.
+ * The state of one front end's dispatcher. {@link AdaptiveDispatcher} reads and writes the fields
+ * and makes the decisions. Times are in microseconds on the clock passed to {@link
+ * Dispatcher#handle}.
  */
 abstract class DispatcherState {
-  /** Halls told apart; further ones share a place. */
-  private static final int HALLS = 32;
+  /** Halls that are tracked separately; further ones share an index with another hall. */
+  private static final int MAX_HALLS = 32;
 
-  /** A benched worker or hall is not tried again sooner. */
-  static final long TRIAL_WAIT = 1_000_000;
+  /** Shortest delay before a benched worker or hall gets a trial call. */
+  static final long MIN_TRIAL_WAIT_MICROS = 1_000_000;
 
-  /** Nor so soon after others said that it still does not answer; they say so every 2 s. */
-  private static final long TOLD_WAIT = 5_000_000;
+  /**
+   * Delay of the next trial after a peer reported a worker as unhealthy. It exceeds the 2 s at
+   * which peers repeat such a report.
+   */
+  private static final long PEER_REPORT_TRIAL_WAIT_MICROS = 5_000_000;
 
   final Map<Integer, Worker> workers = new LinkedHashMap<>();
+
+  /** Known functions, the least recently used first. */
   final Map<Long, Function> functions = new LinkedHashMap<>(64, 0.75f, true);
-  final Map<Integer, PendingCall> open = new LinkedHashMap<>();
-  final LinkedHashSet<PendingCall> held = new LinkedHashSet<>();
-  Worker[] ready = {};
 
-  /** Workers that may not be sent work for long unless they take some, the most urgent first. */
-  final LinkedHashSet<Worker> expiring = new LinkedHashSet<>();
+  /** Calls without a final answer, by call id. */
+  final Map<Integer, PendingCall> pendingCalls = new LinkedHashMap<>();
+
+  /** Pending calls that wait because no worker may be sent to. */
+  final LinkedHashSet<PendingCall> heldCalls = new LinkedHashSet<>();
 
-  /** When an order last renewed one's permission. */
-  long renewedAt = Long.MIN_VALUE / 2;
+  Worker[] readyWorkers = {};
 
+  /** Workers whose lease expires soon unless they accept work, the most urgent first. */
+  final LinkedHashSet<Worker> expiringWorkers = new LinkedHashSet<>();
+
+  /** When a preload was last sent to renew a lease. */
+  long lastRenewalAt = Long.MIN_VALUE / 2;
+
+  /** Incremented with each change of the ready workers. */
   int listVersion;
 
-  /** How many front ends there likely are, and by how much what belongs to all is divided here. */
-  double siblings;
+  /** Estimated number of front ends. */
+  double frontEndCount;
 
-  double divisor;
+  /** Divisor for this front end's share of what all front ends share; at least their number. */
+  double shareDivisor;
 
-  /**
-   * By class: time in flight of warm calls, the same over the hint, load time where it is not told.
-   */
-  final RunningMean[] classWork;
+  /** Latency of warm calls, by class. */
+  final RunningMean[] classDuration;
 
-  final RunningMean[] classHint;
-  final double[] classLoad;
+  /** Latency of warm calls over the expected duration that the client gave, by class. */
+  final RunningMean[] classHintRatio;
 
-  /** Load time seen over load time told. */
-  double storeFactor = 1;
+  /** Load time by class, for functions whose load time is not given. */
+  final double[] classLoadTime;
 
-  int loadsOut;
+  /** Observed load time over the given load time. */
+  double loadTimeRatio = 1;
+
+  /** Own loads in flight. */
+  int loadsInFlight;
+
+  /** Limit on {@link #loadsInFlight}, adapted to the store. */
   double loadLimit = Double.POSITIVE_INFINITY;
-  long loadFailedAt;
 
-  /** Own calls of each tenant; calls served by warm workers, for one of size 1; both decaying. */
-  final double[] tenantRate;
+  long lastLoadFailureAt;
 
-  double served;
+  /** Own calls per second of each tenant, decaying. */
+  final double[] tenantCallRate;
 
-  /** Sizes of the ready workers that are warm, together. */
-  double warm;
+  /** Calls served by warm workers, per unit of worker size, decaying. */
+  double warmServed;
 
-  /**
-   * Own calls within the span of the mix (seconds), its age, and the calls of all front ends a
-   * second.
-   */
-  double taken;
+  /** Sum of the sizes of the ready workers that are warm. */
+  double warmCapacity;
+
+  /** Own calls within the mix window, decaying. */
+  double ownCalls;
 
   /**
-   * Others' calls that hearsay added to the mix, decaying alike: without them its functions would
-   * look in demand.
+   * Calls that peers' observations added to the mix, decaying alike. The total must include them,
+   * or the functions they belong to would seem to be in high demand.
    */
-  double heardOf;
+  double reportedCalls;
+
+  /** Window over which the mix of functions is taken. */
+  double mixWindowSeconds;
+
+  /** Age of the mix, capped at a few windows. */
+  long mixAgeMicros;
 
-  double mixSpan;
-  long mixAge;
-  double fleetRate;
+  /** Estimated calls per second of all front ends. */
+  double fleetCallRate;
 
-  /** Mean time in flight of a warm call. */
-  double meanWork;
+  /** Mean latency of a warm call. */
+  double meanDuration;
 
-  /** What rounds the fractions of this front end's shares. */
-  double phase;
+  /** Offset in [0, 1) with which this front end rounds fractional home counts. */
+  double roundingOffset;
 
-  /** Pairs of a tenant and a class. */
-  int cells;
+  /** Number of pairs of a tenant and a call class. */
+  int tenantClassCount;
 
-  long plannedAt;
+  /** When the planned load was last computed. */
+  long lastPlanAt;
 
-  /** What is left of the budget for further attempts. */
-  double retries;
+  /** Retries and hedges that may still be sent. */
+  double retryBudget;
 
-  boolean commonCause;
+  /** Whether so many workers are unhealthy that a common cause is assumed. */
+  boolean commonFailure;
 
-  /** Most workers take on nothing. */
-  boolean rush;
+  /** Whether most workers reject every call. */
+  boolean commonRejection;
 
-  /** By hall: whether it is lost as a whole, and when one of its workers may be tried again. */
-  final boolean[] hallLost = new boolean[HALLS];
+  /** Whether a hall is benched as a whole, by hall index. */
+  final boolean[] hallBenched = new boolean[MAX_HALLS];
 
-  final long[] hallTrialAt = new long[HALLS];
-  double pressure;
-  double pressed;
-  double meanAim;
-  double shed;
+  /** When a worker of a benched hall may next get a trial call, by hall index. */
+  final long[] hallNextTrialAt = new long[MAX_HALLS];
 
-  /** Worth of work of the last calls. */
-  final double[] values;
+  /** Sum of latency over latency target of recent answers, decaying. */
+  double pressureSum;
 
-  int valueCount;
-  long lastLog = Long.MIN_VALUE / 2;
+  /** Number of recent answers, decaying. */
+  double pressureCount;
+
+  double meanLatencyTarget;
+
+  /** Share of calls that is shed. */
+  double shedFraction;
+
+  /** Ring buffer of the values of the latest calls. */
+  final double[] recentValues;
+
+  /** Number of values ever written to {@link #recentValues}. */
+  int recentValueCount;
+
+  long lastLogAt = Long.MIN_VALUE / 2;
+
+  /** Arrival times of calls that count for the preload limit. */
   final ArrayDeque<Long> callTimes = new ArrayDeque<>();
-  final ArrayDeque<Long> orderTimes = new ArrayDeque<>();
 
+  /** Send times of recent preloads. */
+  final ArrayDeque<Long> preloadTimes = new ArrayDeque<>();
+
+  /** Weights of the linear score, one per feature. */
   final double[] weights;
+
+  /** Weights of the critic (the baseline of the reward), one per feature, and its bias. */
   final double[] critic;
-  double payoffSpread;
+
+  /** Running mean of the absolute advantage. */
+  double advantageScale;
+
+  /** Completed attempts for the next policy update. */
   final List<Attempt> batch = new ArrayList<>();
 
-  /** Rows of features, chances and workers of the draw at hand. */
-  double[][] rows = {};
+  /** Features of each candidate of the current sampling. */
+  double[][] featureRows = {};
+
+  /** Score of each candidate, then its unnormalized softmax probability. */
+  double[] scores = {};
+
+  /** Eligible workers of the current sampling. */
+  Worker[] candidates = {};
 
-  double[] chance = {};
-  Worker[] field = {};
-  Worker[] inOrder = {};
+  /** Those workers by their home rank; null where the worker of that rank is not eligible. */
+  Worker[] candidatesByRank = {};
 
-  /** Means over the ready workers, of the draw at hand. */
-  double meanOwn;
+  /** Mean over the ready workers of own calls in flight per size, for the current sampling. */
+  double meanOwnLoad;
 
-  double meanPace;
-  double meanPlan;
+  /** Mean latency ratio of the ready workers, for the current sampling. */
+  double meanLatencyRatio;
+
+  /** Mean planned load per size of the ready workers, for the current sampling. */
+  double meanPlannedLoad;
 
   DispatcherState(int classes, int tenants, int features, int values) {
-    classWork = new RunningMean[classes];
-    classHint = new RunningMean[classes];
-    classLoad = new double[classes];
-    tenantRate = new double[tenants];
-    this.values = new double[values];
+    classDuration = new RunningMean[classes];
+    classHintRatio = new RunningMean[classes];
+    classLoadTime = new double[classes];
+    tenantCallRate = new double[tenants];
+    this.recentValues = new double[values];
     weights = new double[features];
     critic = new double[features + 1];
   }
 
-  /** Takes the ready workers and makes room for a draw among them. */
+  /** Replaces the ready workers and resizes the buffers for sampling among them. */
   void setReadyWorkers(List<Worker> list) {
-    ready = list.toArray(new Worker[0]);
+    readyWorkers = list.toArray(new Worker[0]);
     listVersion++;
-    if (rows.length < ready.length) {
-      rows = new double[ready.length][weights.length];
-      chance = new double[ready.length];
-      field = new Worker[ready.length];
-      inOrder = new Worker[ready.length];
+    if (featureRows.length < readyWorkers.length) {
+      featureRows = new double[readyWorkers.length][weights.length];
+      scores = new double[readyWorkers.length];
+      candidates = new Worker[readyWorkers.length];
+      candidatesByRank = new Worker[readyWorkers.length];
     }
   }
 
-  /** The place of a worker's hall. */
-  static int hall(Worker w) {
-    return Math.floorMod(w.zone, HALLS);
+  /** Returns the index of a worker's hall. */
+  static int hallIndex(Worker worker) {
+    return Math.floorMod(worker.zone, MAX_HALLS);
   }
 
-  /** Forgets the function unused for longest, where that is since before {@code last}. */
-  void forget(long last) {
+  /** Drops the least recently used function if its last call was before {@code cutoff}. */
+  void forgetOldestFunction(long cutoff) {
     Iterator<Function> eldest = functions.values().iterator();
-    Function f = eldest.hasNext() ? eldest.next() : null;
-    if (f != null && f.lastAt < last) {
+    Function function = eldest.hasNext() ? eldest.next() : null;
+    if (function != null && function.lastCallAt < cutoff) {
       eldest.remove();
-      for (Worker w : workers.values()) {
-        w.copies.computeIfPresent(f.id, (id, copy) -> copy.inFlight > 0 ? copy : null);
+      for (Worker worker : workers.values()) {
+        worker.copies.computeIfPresent(function.id, (id, copy) -> copy.inFlight > 0 ? copy : null);
       }
     }
   }
 
   /**
-   * What was seen here, as others would be told of it; hearsay is left out, as it is others' to
-   * tell.
+   * Passes on what this front end observed itself, for its peers. What peers reported is left out,
+   * since they pass it on themselves.
    */
   public void exportObservations(long now, Consumer<Observation> facts) {
-    for (Worker w : workers.values()) {
-      if (w.state == WorkerState.READY) {
-        facts.accept(new WorkerObservation(w.id, w.pace, w.bad, 0, 1));
-        w.copies.forEach(
-            (function, c) -> {
-              if (c.seenAt > 0 && c.trust == 1) {
-                facts.accept(new CopyObservation(w.id, function, now - c.seenAt, 1));
+    for (Worker worker : workers.values()) {
+      if (worker.state == WorkerState.READY) {
+        facts.accept(
+            new WorkerObservation(worker.id, worker.latencyRatio, worker.failureRate, 0, 1));
+        worker.copies.forEach(
+            (functionId, copy) -> {
+              if (copy.seenLoadedAt > 0 && copy.confidence == 1) {
+                facts.accept(
+                    new CopyObservation(worker.id, functionId, now - copy.seenLoadedAt, 1));
               }
             });
       }
     }
-    for (Function f : functions.values()) {
-      if (f.servedAt > 0) {
+    for (Function function : functions.values()) {
+      if (function.lastServedAt > 0) {
         facts.accept(
             new FunctionObservation(
-                f.id, f.callClass, f.lanes, (long) f.loadTime, f.recent, now - f.lastAt, 1));
+                function.id,
+                function.callClass,
+                function.lanes,
+                (long) function.loadTime,
+                function.recentCalls,
+                now - function.lastCallAt,
+                1));
       }
     }
   }
 
   /**
-   * Takes in hearsay, a prior belief: it holds where nothing was seen here, and until something is.
+   * Applies a peer's observation as a prior: it counts only where this front end has observed
+   * nothing itself, and until it does.
    */
-  void applyObservation(Observation known, long now) {
-    if (known instanceof CopyObservation e) {
-      Worker w = workers.get(e.worker());
-      if (w != null && w.state == WorkerState.READY && now - e.age() > w.cameUp) {
-        Copy c = w.copies.computeIfAbsent(e.function(), id -> new Copy());
-        if (c.seenAt == 0 && c.inFlight == 0 && c.readyAt == 0) {
-          c.seenAt = now - e.age();
-          c.trust = clamp(e.weight(), 0, 0.99);
+  void applyObservation(Observation observation, long now) {
+    if (observation instanceof CopyObservation seen) {
+      Worker worker = workers.get(seen.worker());
+      if (worker != null
+          && worker.state == WorkerState.READY
+          && now - seen.age() > worker.startedAt) {
+        Copy copy = worker.copies.computeIfAbsent(seen.function(), id -> new Copy());
+        if (copy.seenLoadedAt == 0 && copy.inFlight == 0 && copy.expectedReadyAt == 0) {
+          copy.seenLoadedAt = now - seen.age();
+          copy.confidence = clamp(seen.weight(), 0, 0.99);
         }
       }
-    } else if (known instanceof WorkerObservation e) {
-      Worker w = workers.get(e.worker());
-      boolean fresh = w != null && w.pace == 1 && w.bad == 0 && w.out.isEmpty();
-      if (w == null
-          || w.state != WorkerState.READY
-          || !fresh && now - e.age() <= Math.max(w.wellAt, w.lostAt)) {
-        return; // what was seen here later wins
+    } else if (observation instanceof WorkerObservation seen) {
+      Worker worker = workers.get(seen.worker());
+      boolean fresh =
+          worker != null
+              && worker.latencyRatio == 1
+              && worker.failureRate == 0
+              && worker.attempts.isEmpty();
+      // An own observation that is more recent takes precedence.
+      if (worker == null
+          || worker.state != WorkerState.READY
+          || !fresh && now - seen.age() <= Math.max(worker.lastOkAt, worker.lastUnresponsiveAt)) {
+        return;
       }
-      boolean back = w.toldBad && e.failureRate() < 0.5;
-      w.toldBad = e.failureRate() >= 0.5;
-      if (w.benched) { // whether it is back is asked by one for all: here a call tries it once it
-        // answers, and not before
-        w.trialAt = back ? now : w.toldBad ? Math.max(w.trialAt, now + TOLD_WAIT) : w.trialAt;
-        hallTrialAt[hall(w)] = back ? now : hallTrialAt[hall(w)];
-      } else if (fresh || w.toldBad) {
-        w.trialAt = w.toldBad ? now + TOLD_WAIT : w.trialAt;
-        w.bad = Math.max(w.bad, e.weight() * clamp(e.failureRate(), 0, 1));
+      boolean back = worker.reportedUnhealthy && seen.failureRate() < 0.5;
+      worker.reportedUnhealthy = seen.failureRate() >= 0.5;
+      // One front end probes the worker for all: here a trial call follows once the worker answers
+      // that probe, and not before.
+      if (worker.benched) {
+        worker.nextTrialAt =
+            back
+                ? now
+                : worker.reportedUnhealthy
+                    ? Math.max(worker.nextTrialAt, now + PEER_REPORT_TRIAL_WAIT_MICROS)
+                    : worker.nextTrialAt;
+        hallNextTrialAt[hallIndex(worker)] = back ? now : hallNextTrialAt[hallIndex(worker)];
+      } else if (fresh || worker.reportedUnhealthy) {
+        worker.nextTrialAt =
+            worker.reportedUnhealthy ? now + PEER_REPORT_TRIAL_WAIT_MICROS : worker.nextTrialAt;
+        worker.failureRate =
+            Math.max(worker.failureRate, seen.weight() * clamp(seen.failureRate(), 0, 1));
       }
-      if (fresh || e.latencyRatio() > 1) {
-        w.pace =
-            fresh || e.latencyRatio() > w.pace
-                ? w.pace + e.weight() * (clamp(e.latencyRatio(), 0.2, 6) - w.pace)
-                : w.pace;
+      if (fresh || seen.latencyRatio() > 1) {
+        worker.latencyRatio =
+            fresh || seen.latencyRatio() > worker.latencyRatio
+                ? worker.latencyRatio
+                    + seen.weight() * (clamp(seen.latencyRatio(), 0.2, 6) - worker.latencyRatio)
+                : worker.latencyRatio;
       }
-    } else if (known instanceof FunctionObservation e
-        && e.callClass() >= 0
-        && e.callClass() < classWork.length) {
-      Function f = functions.computeIfAbsent(e.function(), Function::new);
-      if (f.lastAt == 0) {
-        f.callClass = e.callClass();
-        f.lanes = clamp(e.lanes(), 1, 64);
-        f.loadTime = Math.max(0, e.loadTime());
-        f.recent = e.weight() * Math.max(0, e.recentCalls());
-        heardOf += f.recent;
-        f.lastAt = now - e.age();
-        f.servedAt = f.lastAt;
+    } else if (observation instanceof FunctionObservation seen
+        && seen.callClass() >= 0
+        && seen.callClass() < classDuration.length) {
+      Function function = functions.computeIfAbsent(seen.function(), Function::new);
+      if (function.lastCallAt == 0) {
+        function.callClass = seen.callClass();
+        function.lanes = clamp(seen.lanes(), 1, 64);
+        function.loadTime = Math.max(0, seen.loadTime());
+        function.recentCalls = seen.weight() * Math.max(0, seen.recentCalls());
+        reportedCalls += function.recentCalls;
+        function.lastCallAt = now - seen.age();
+        function.lastServedAt = function.lastCallAt;
       }
     }
   }
 
-  /** Drops times up to {@code last}. */
-  static void prune(ArrayDeque<Long> times, long last) {
-    while (!times.isEmpty() && times.peek() <= last) {
+  /** Removes times up to and including {@code cutoff} from the front of the queue. */
+  static void removeUpTo(ArrayDeque<Long> times, long cutoff) {
+    while (!times.isEmpty() && times.peek() <= cutoff) {
       times.poll();
     }
   }
 
-  /** A running mean. */
+  /** An exponential running mean that starts as a plain mean. */
   static final class RunningMean {
     double value;
     int count;
@@ -278,178 +355,223 @@
       value = start;
     }
 
-    /** Takes a value in; the first ones weigh more, none less than {@code leastStep}. */
-    void add(double x, double leastStep) {
+    /** Adds a sample with step 1 / (count + 1), or {@code minStep} if that is larger. */
+    void add(double sample, double minStep) {
       count = Math.min(count + 1, 1 << 20);
-      value += Math.max(leastStep, 1.0 / (count + 1)) * (x - value);
+      value += Math.max(minStep, 1.0 / (count + 1)) * (sample - value);
     }
   }
 
-  /** One function's copy at one worker. */
+  /** What is known of one function's copy at one worker. */
   static final class Copy {
-    /** Last proof that it stood loaded; 0: none. */
-    long seenAt;
+    /** When the copy was last known to be loaded; 0 if never. */
+    long seenLoadedAt;
 
-    /** What that proof is worth: 1 for an own one, less for hearsay. */
-    double trust = 1;
+    /** Confidence in that: 1 for an own observation, less for a peer's. */
+    double confidence = 1;
 
-    /** When a load under way should be over; 0: none known. */
-    long readyAt;
+    /** When a load in progress is expected to end; 0 if none is known. */
+    long expectedReadyAt;
 
-    /** Own calls there. */
+    /** Own calls in flight at this copy. */
     int inFlight;
 
-    /** Peers' calls there by the last crowd counts, and when they came. */
-    double others;
+    /** Peers' calls there, from the concurrency that the worker reported. */
+    double peerCalls;
 
-    long crowdAt;
+    /** When that concurrency was reported. */
+    long concurrencyReportedAt;
   }
 
-  /** A function, as its calls described it. */
+  /** A function, as described by its calls. */
   static final class Function {
     final long id;
-    final RunningMean work = new RunningMean(0);
+
+    /** Latency of its warm calls. */
+    final RunningMean duration = new RunningMean(0);
+
+    /** Calls that one copy runs concurrently. */
     double lanes = 1;
+
+    /** Load time in microseconds; 0 if not given. */
     double loadTime;
+
+    /** Class of its latest call. */
     int callClass;
 
-    /** When a call of it was last served; 0: never. */
-    long servedAt;
+    /** When a call of it was last served; 0 if never. */
+    long lastServedAt;
 
-    /** Own calls, decaying, as of {@code lastAt}. */
-    double recent;
+    /** Own calls, decayed up to {@code lastCallAt}. */
+    double recentCalls;
 
-    long lastAt;
+    long lastCallAt;
 
-    /** Each ready worker's place in the home order, for the list of {@code rankVersion}. */
-    int[] rank = {};
+    /** Each ready worker's position in the home order, for the list of {@code homeRankVersion}. */
+    int[] homeRanks = {};
 
-    int rankVersion = -1;
+    int homeRankVersion = -1;
 
     Function(long id) {
       this.id = id;
     }
   }
 
-  /** A worker, as the list, its reports and its outcomes showed it. */
+  /** A worker, as known from the worker list, its reports and its outcomes. */
   static final class Worker {
     final int id;
-    final Map<Long, Attempt> out = new LinkedHashMap<>();
+
+    /** Attempts in flight, by {@link Maths#attemptKey}. */
+    final Map<Long, Attempt> attempts = new LinkedHashMap<>();
+
+    /** Copies by function id. */
     final Map<Long, Copy> copies = new LinkedHashMap<>();
+
     WorkerState state = WorkerState.GONE;
+
+    /** Whether the worker is on the current list. */
     boolean listed;
-    int place;
 
-    /** Place in the home order of the draw at hand. */
-    int order;
+    /** Index in {@link DispatcherState#readyWorkers}. */
+    int readyIndex;
+
+    /** Position in the home order among the candidates of the current sampling. */
+    int candidateRank;
 
     int zone;
     int cell;
+
+    /** Capacity relative to the other workers. */
     double size = 1;
-    long cameUp;
-    double pace = 1;
-    double lag;
-    double bad;
+
+    /** Time of the last start; 0 if long past. */
+    long startedAt;
+
+    /** Running mean of observed over expected latency. */
+    double latencyRatio = 1;
+
+    /** The same ratio for the ages of the attempts in flight. */
+    double inFlightLatencyRatio;
+
+    /** Running mean of failures per attempt. */
+    double failureRate;
 
     /** When a connection to it was last lost or refused. */
-    long diedAt = Long.MIN_VALUE / 2;
+    long lastConnectionLossAt = Long.MIN_VALUE / 2;
+
+    /** When it last served a call. */
+    long lastOkAt;
+
+    /** When it last was silent or unreachable. */
+    long lastUnresponsiveAt;
 
-    /** When it last served, and when it last was silent or unreachable. */
-    long wellAt;
+    /** Calls in flight that it would have if all calls went to the homes of their functions. */
+    double plannedLoad;
 
-    long lostAt;
-    double plan;
+    /** Whether it gets no calls other than trials, as it is unhealthy. */
     boolean benched;
 
-    /**
-     * By tenant and class, turned a call away: passed over until then, and how long the wait was.
-     */
-    final long[] fullUntil;
+    /** Until when calls of a tenant and class skip it after a rejection, by tenant-class index. */
+    final long[] rejectedUntil;
 
-    final long[] fullWait;
+    /** Duration of the latest such interval, by tenant-class index. */
+    final long[] rejectionBackoff;
 
-    /**
-     * Calls turned away one after the other, whoever's, the first one's end, and when the last one
-     * was sent.
-     */
-    int turnedAway;
+    /** Consecutive rejections, of any tenant and class. */
+    int consecutiveRejections;
 
-    long firstAwayAt;
-    long lastAwaySentAt;
+    /** When the first of them arrived. */
+    long firstRejectionAt;
 
-    /** Passed over for all calls until then, and how long the wait was. */
-    long awayUntil;
+    /** When the attempt rejected last was sent. */
+    long lastRejectedSentAt;
 
-    long awayWait;
-    long trialAt;
+    /** Until when all calls skip it because it seems to drain. */
+    long drainSuspectedUntil;
 
-    /** Others say that it does not answer. */
-    boolean toldBad;
+    /** Duration of the latest such interval. */
+    long drainBackoff;
 
-    long trialWait;
+    /** When a benched worker may next get a trial call. */
+    long nextTrialAt;
+
+    /** Whether peers report it as unhealthy. */
+    boolean reportedUnhealthy;
+
+    /** Delay between trial calls. */
+    long trialBackoff;
+
+    /** Calls that may be sent to it now while it is cold. */
     double coldBudget;
 
-    /** Since when there is enough of it for a call. */
-    long coldSince;
+    /** Since when that budget has allowed a call. */
+    long coldBudgetReadySince;
 
-    Worker(int id, int cells) {
-      fullUntil = new long[cells];
-      fullWait = new long[cells];
+    Worker(int id, int tenantClassCount) {
+      rejectedUntil = new long[tenantClassCount];
+      rejectionBackoff = new long[tenantClassCount];
       this.id = id;
     }
 
-    void told(WorkerEntry m, double newSize) {
-      state = m.state();
-      zone = m.zone();
-      cell = m.cell();
-      cameUp = m.startedAt();
+    /** Applies an entry of the worker list. */
+    void update(WorkerEntry entry, double newSize) {
+      state = entry.state();
+      zone = entry.zone();
+      cell = entry.cell();
+      startedAt = entry.startedAt();
       size = newSize;
     }
   }
 
-  /** A call that is owed an answer. */
+  /** A call that has no final answer yet. */
   static final class PendingCall {
     final CallArrival event;
-    final CallClass kind;
-    final long takenAt;
+    final CallClass callClass;
+    final long arrivedAt;
     final long deadline;
     final Function function;
-    final List<Worker> tried = new ArrayList<>(1);
-    int sent;
-    int outstanding;
+    final List<Worker> triedWorkers = new ArrayList<>(1);
+    int attemptsSent;
+    int attemptsInFlight;
     boolean streaming;
     boolean closed;
 
-    /** Whether a second copy may be out beside the first. */
+    /** Whether a hedge may be in flight besides the first attempt. */
     boolean hedged;
 
-    /** Whether an attempt may have run, and the first such attempt's time, hall and cell. */
+    /** Whether an attempt may have had an effect. */
     boolean mayHaveRun;
 
-    long ranSince;
-    int ranZone;
-    int ranCell;
+    /** When the first such attempt was sent. */
+    long firstRunAt;
+
+    /** Hall of that attempt's worker. */
+    int firstRunZone;
 
-    /** Of the last draw: the chosen features less the expected ones, and the mean over workers. */
+    /** Cell of that attempt's worker. */
+    int firstRunCell;
+
+    /** Gradient of the log probability of the worker sampled last; null once it is used. */
     double[] gradient;
 
-    double[] mean;
+    /** Mean of the candidates' features in the latest sampling. */
+    double[] meanFeatures;
 
-    PendingCall(CallArrival event, CallClass kind, Function function, long now) {
+    PendingCall(CallArrival event, CallClass callClass, Function function, long now) {
       this.event = event;
-      this.kind = kind;
+      this.callClass = callClass;
       this.function = function;
-      takenAt = now;
+      arrivedAt = now;
       deadline = now + Math.max(0, event.budget());
     }
 
-    /** Takes down the first attempt that may have had its effect. */
-    void mayHaveRun(Attempt a) {
+    /** Records the first attempt that may have had an effect. */
+    void recordPossibleRun(Attempt attempt) {
       if (!mayHaveRun) {
         mayHaveRun = true;
-        ranSince = a.sentAt;
-        ranZone = a.worker.zone;
-        ranCell = a.worker.cell;
+        firstRunAt = attempt.sentAt;
+        firstRunZone = attempt.worker.zone;
+        firstRunCell = attempt.worker.cell;
       }
     }
   }
@@ -460,21 +582,37 @@
     final Worker worker;
     final Copy copy;
     final long sentAt;
-    final int ownBefore;
-    boolean cold;
-    boolean begins;
 
-    /** Times that it should have been answered, at the worker's pace, and was not. */
-    int missed;
+    /** Own calls at the copy before this one. */
+    final int ownCallsBefore;
+
+    /** Whether the copy was probably not loaded at the send. */
+    boolean expectsLoad;
+
+    /** Whether the attempt was expected to start a load rather than join one. */
+    boolean startsLoad;
 
-    /** Expected time in flight: warm at the usual pace; of a load; in all. */
-    double unit;
+    /** How many times the overdue interval has passed without an outcome. */
+    int missedDeadlines;
 
-    double load;
-    double expected;
+    /** Expected latency on a warm worker with latency ratio 1. */
+    double warmDuration;
+
+    /** Expected duration of a load. */
+    double loadTime;
+
+    /** Expected latency at this worker, including the expected wait for a load. */
+    double expectedTime;
+
+    /** Gradient of the log probability of the worker; null if it was not sampled. */
     double[] gradient;
-    double[] mean;
-    double payoff;
+
+    /** Mean of the candidates' features, the input of the critic. */
+    double[] meanFeatures;
+
+    double reward;
+
+    /** Reward minus the critic's estimate. */
     double advantage;
 
     Attempt(PendingCall call, Worker worker, Copy copy, long now) {
@@ -482,11 +620,11 @@
       this.worker = worker;
       this.copy = copy;
       sentAt = now;
-      ownBefore = copy.inFlight;
+      ownCallsBefore = copy.inFlight;
       gradient = call.gradient;
-      mean = call.mean;
+      meanFeatures = call.meanFeatures;
       call.gradient = null;
-      call.tried.add(worker);
+      call.triedWorkers.add(worker);
     }
   }
 }
--- a/src/main/java/saddlestall/Maths.java
+++ b/src/main/java/saddlestall/Maths.java
@@ -4,16 +4,16 @@
 import java.util.function.IntToDoubleFunction;
 import java.util.stream.IntStream;
 
-/** Arithmetic without a decision in it. */
+/** Pure functions for arithmetic, sampling and hashing. */
 final class Maths {
   private Maths() {}
 
-  /** {@code x} within the bounds; the lower one for a value that is not a number. */
+  /** Returns {@code x} limited to the bounds, and the lower bound for NaN. */
   static double clamp(double x, double low, double high) {
     return x > low ? Math.min(x, high) : low;
   }
 
-  /** The product over the length of {@code b}. */
+  /** Returns the dot product over the length of {@code b}; {@code a} may be longer. */
   static double dot(double[] a, double[] b) {
     double sum = 0;
     for (int k = 0; k < b.length; k++) {
@@ -23,34 +23,43 @@
   }
 
   /**
-   * Turns the first {@code n} scores into chances not yet divided by their sum, which it returns.
+   * Replaces the first {@code n} scores by their unnormalized softmax probabilities.
+   *
+   * @return the sum to divide them by
    */
-  static double softmax(double[] x, int n) {
+  static double softmax(double[] scores, int n) {
     double top = Double.NEGATIVE_INFINITY;
     for (int i = 0; i < n; i++) {
-      top = Math.max(top, x[i]);
+      top = Math.max(top, scores[i]);
     }
     double sum = 0;
     for (int i = 0; i < n; i++) {
-      x[i] = StrictMath.exp(x[i] - top);
-      sum += x[i];
+      scores[i] = StrictMath.exp(scores[i] - top);
+      sum += scores[i];
     }
     return sum;
   }
 
-  /** The row that was drawn less the one to be expected by the chances, whose sum is given. */
-  static double[] surprise(double[][] rows, double[] chance, int n, int pick, double sum) {
-    double[] row = rows[pick].clone();
+  /**
+   * Returns the gradient of the log probability of the sampled row with respect to the weights: its
+   * features minus the expected ones.
+   *
+   * @param scores unnormalized probabilities of the first {@code n} rows
+   * @param sum sum of these probabilities
+   */
+  static double[] logProbabilityGradient(
+      double[][] rows, double[] scores, int n, int chosen, double sum) {
+    double[] row = rows[chosen].clone();
     for (int i = 0; i < n; i++) {
       for (int k = 0; k < row.length; k++) {
-        row[k] -= chance[i] / sum * rows[i][k];
+        row[k] -= scores[i] / sum * rows[i][k];
       }
     }
     return row;
   }
 
-  /** The mean of the first {@code n} rows. */
-  static double[] mean(double[][] rows, int n) {
+  /** Returns the mean of the first {@code n} rows. */
+  static double[] meanRow(double[][] rows, int n) {
     double[] mean = new double[rows[0].length];
     for (int i = 0; i < n; i++) {
       for (int k = 0; k < mean.length; k++) {
@@ -60,36 +69,36 @@
     return mean;
   }
 
-  /** The place of each of {@code n} things in the ascending order of their keys. */
-  static int[] rank(int n, IntToDoubleFunction key) {
+  /** Returns the position of each of {@code n} items in the ascending order of their keys. */
+  static int[] ranks(int n, IntToDoubleFunction key) {
     double[] keys = IntStream.range(0, n).mapToDouble(key).toArray();
     double[] sorted = keys.clone();
     Arrays.sort(sorted);
     return IntStream.range(0, n).map(i -> Arrays.binarySearch(sorted, keys[i])).toArray();
   }
 
-  /** One number for an attempt of a call. */
-  static long key(int call, int attempt) {
+  /** Combines a call id and an attempt number, which may be up to 255, into one key. */
+  static long attemptKey(int call, int attempt) {
     return (call & 0xffffffffL) << 8 | attempt & 255;
   }
 
-  /** A hash as a number in (0, 1). */
-  static double fraction(long hash) {
+  /** Maps a hash to a number in (0, 1). */
+  static double toUnitInterval(long hash) {
     return ((hash >>> 11) + 0.5) / (1L << 53);
   }
 
-  /** A hash of a function and a worker, the same at every front end. */
-  static long mix(long function, int worker) {
-    long z = function * 0x9E3779B97F4A7C15L ^ worker * 0xC2B2AE3D27D4EB4FL;
-    z = (z ^ z >>> 30) * 0xBF58476D1CE4E5B9L;
-    z = (z ^ z >>> 27) * 0x94D049BB133111EBL;
-    return z ^ z >>> 31;
+  /** Returns a hash of a function and a worker, the same at every front end. */
+  static long hash(long function, int worker) {
+    long bits = function * 0x9E3779B97F4A7C15L ^ worker * 0xC2B2AE3D27D4EB4FL;
+    bits = (bits ^ bits >>> 30) * 0xBF58476D1CE4E5B9L;
+    bits = (bits ^ bits >>> 27) * 0x94D049BB133111EBL;
+    return bits ^ bits >>> 31;
   }
 
-  /** Multiplies each value. */
-  static void scale(double[] values, double by) {
+  /** Multiplies each value by a factor, in place. */
+  static void scale(double[] values, double factor) {
     for (int i = 0; i < values.length; i++) {
-      values[i] *= by;
+      values[i] *= factor;
     }
   }
 }
--- a/src/main/java/saddlestall/SettingsValidator.java
+++ b/src/main/java/saddlestall/SettingsValidator.java
@@ -3,24 +3,29 @@
 import saddlestall.Dispatcher.CallClass;
 import saddlestall.Dispatcher.Settings;
 
-/** Refuses settings that cannot be served, naming the field. */
+/** Rejects settings that cannot be served. */
 final class SettingsValidator {
   private SettingsValidator() {}
 
-  static void check(Settings s) {
-    require(!s.classes().isEmpty(), "classes");
-    for (CallClass c : s.classes()) {
-      require(c.latencyTarget() > 0, "classes.aim");
-      require(c.timeout() > 0, "classes.giveUp");
-      require(c.value() >= 0, "classes.worth");
+  /**
+   * Checks the settings. The messages name a setting as it is called in the settings file.
+   *
+   * @throws IllegalArgumentException naming the setting that cannot be served
+   */
+  static void check(Settings settings) {
+    require(!settings.classes().isEmpty(), "classes");
+    for (CallClass callClass : settings.classes()) {
+      require(callClass.latencyTarget() > 0, "classes.aim");
+      require(callClass.timeout() > 0, "classes.giveUp");
+      require(callClass.value() >= 0, "classes.worth");
     }
-    require(s.frontEndCount() > 0, "siblings");
-    require(s.limits().maxAttempts() > 0, "limits.maxAttempts");
+    require(settings.frontEndCount() > 0, "siblings");
+    require(settings.limits().maxAttempts() > 0, "limits.maxAttempts");
   }
 
-  private static void require(boolean holds, String field) {
-    if (!holds) {
-      throw new IllegalArgumentException("setting cannot be served: " + field);
+  private static void require(boolean valid, String setting) {
+    if (!valid) {
+      throw new IllegalArgumentException("setting cannot be served: " + setting);
     }
   }
 }
