--- a/src/test/java/saddlestall/AdaptiveDispatcherTest.java
+++ b/src/test/java/saddlestall/AdaptiveDispatcherTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.DispatcherFixture.KEYED;
-import static saddlestall.DispatcherFixture.MS;
-import static saddlestall.DispatcherFixture.SAFE;
+import static saddlestall.DispatcherFixture.DEDUPLICATED_CLASS;
+import static saddlestall.DispatcherFixture.IDEMPOTENT_CLASS;
+import static saddlestall.DispatcherFixture.MILLISECOND;
+import static saddlestall.DispatcherFixture.NOT_IDEMPOTENT_CLASS;
 import static saddlestall.DispatcherFixture.SECOND;
-import static saddlestall.DispatcherFixture.UNSAFE;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -26,7 +26,7 @@
 
 /** Rule by rule, and failure by failure. */
 class AdaptiveDispatcherTest {
-  private static DispatcherFixture bench() {
+  private static DispatcherFixture fixture() {
     return new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 7);
   }
 
@@ -38,11 +38,11 @@
       names = {"OK", "CANCELLED", "MOOT"},
       mode = EnumSource.Mode.EXCLUDE)
   void unsafeCallsGoOnOnlyWhenNothingRan(OutcomeCode code) {
-    DispatcherFixture b = bench().list(4).call(1, UNSAFE, 9);
-    b.at(20).outcome(b.lastSend(), 0, code, 20);
-    assertEquals(code.notRun ? 2 : 1, b.sends(1).size());
-    assertEquals(!code.notRun, b.failed(1));
-    assertFalse(b.refused(1));
+    DispatcherFixture fixture = fixture().list(4).call(1, NOT_IDEMPOTENT_CLASS, 9);
+    fixture.at(20).outcome(fixture.lastSend(), 0, code, 20);
+    assertEquals(code.notRun ? 2 : 1, fixture.sends(1).size());
+    assertEquals(!code.notRun, fixture.failed(1));
+    assertFalse(fixture.refused(1));
   }
 
   @ParameterizedTest
@@ -50,131 +50,134 @@
       value = OutcomeCode.class,
       names = {"ERROR", "FULL", "CONNECT_FAILED", "RESET", "MISS"})
   void safeCallsGoOnElsewhere(OutcomeCode code) {
-    DispatcherFixture b = bench().list(4).call(1, SAFE, 9);
-    Send first = b.lastSend();
-    b.at(20).outcome(first, 0, code, 20);
-    assertEquals(2, b.sends(1).size());
-    assertFalse(first.worker() == b.lastSend().worker());
+    DispatcherFixture fixture = fixture().list(4).call(1, IDEMPOTENT_CLASS, 9);
+    Send first = fixture.lastSend();
+    fixture.at(20).outcome(first, 0, code, 20);
+    assertEquals(2, fixture.sends(1).size());
+    assertFalse(first.worker() == fixture.lastSend().worker());
   }
 
   @Test
   void keyedCallsStayInTheirCellAndTime() {
     for (long seed = 0; seed < 20; seed++) {
-      DispatcherFixture b =
+      DispatcherFixture fixture =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.CELL), seed)
               .list(6)
-              .call(1, KEYED, 9);
-      Send first = b.lastSend();
-      b.at(20).outcome(first, 0, OutcomeCode.ERROR, 20);
-      assertEquals(2, b.sends(1).size());
-      assertEquals(first.worker() % 2, b.lastSend().worker() % 2);
-      b.at(1100).outcome(b.lastSend(), 1, OutcomeCode.ERROR, 1100);
-      b.pass(1400).event(new TimerFired(1));
-      assertEquals(2, b.sends(1).size());
-      assertTrue(b.failed(1));
+              .call(1, DEDUPLICATED_CLASS, 9);
+      Send first = fixture.lastSend();
+      fixture.at(20).outcome(first, 0, OutcomeCode.ERROR, 20);
+      assertEquals(2, fixture.sends(1).size());
+      assertEquals(first.worker() % 2, fixture.lastSend().worker() % 2);
+      fixture.at(1100).outcome(fixture.lastSend(), 1, OutcomeCode.ERROR, 1100);
+      fixture.pass(1400).event(new TimerFired(1));
+      assertEquals(2, fixture.sends(1).size());
+      assertTrue(fixture.failed(1));
     }
   }
 
   @Test
   void theDeadlineGetsItsAnswer() {
-    DispatcherFixture b = bench().list(4).call(1, UNSAFE, 9).call(2, SAFE, 9);
-    b.at(2500).event(new TimerFired(1)).event(new TimerFired(2));
-    assertTrue(b.failed(1));
-    assertTrue(b.refused(2));
-    int before = b.actions.size();
-    b.at(1).outcome(b.sends(1).get(0), 0, OutcomeCode.TIMEOUT, 2501);
-    assertEquals(before, b.actions.size());
+    DispatcherFixture fixture =
+        fixture().list(4).call(1, NOT_IDEMPOTENT_CLASS, 9).call(2, IDEMPOTENT_CLASS, 9);
+    fixture.at(2500).event(new TimerFired(1)).event(new TimerFired(2));
+    assertTrue(fixture.failed(1));
+    assertTrue(fixture.refused(2));
+    int before = fixture.actions.size();
+    fixture.at(1).outcome(fixture.sends(1).get(0), 0, OutcomeCode.TIMEOUT, 2501);
+    assertEquals(before, fixture.actions.size());
   }
 
   @Test
   void withNothingPermittedACallIsHeldThenRefused() {
-    DispatcherFixture b = bench().call(1, UNSAFE, 9);
-    assertTrue(b.sends(1).isEmpty());
-    b.at(100).list(2);
-    assertEquals(1, b.sends(1).size());
-    DispatcherFixture none = bench().call(1, UNSAFE, 9).pass(2500);
+    DispatcherFixture fixture = fixture().call(1, NOT_IDEMPOTENT_CLASS, 9);
+    assertTrue(fixture.sends(1).isEmpty());
+    fixture.at(100).list(2);
+    assertEquals(1, fixture.sends(1).size());
+    DispatcherFixture none = fixture().call(1, NOT_IDEMPOTENT_CLASS, 9).pass(2500);
     assertTrue(none.event(new TimerFired(1)).refused(1));
   }
 
   @Test
   void attemptsAreLimited() {
-    DispatcherFixture b = bench().list(8).call(1, SAFE, 9);
+    DispatcherFixture fixture = fixture().list(8).call(1, IDEMPOTENT_CLASS, 9);
     for (int i = 0; i < 4; i++) {
-      b.at(5).outcome(b.lastSend(), i, OutcomeCode.CONNECT_FAILED, 5);
+      fixture.at(5).outcome(fixture.lastSend(), i, OutcomeCode.CONNECT_FAILED, 5);
     }
-    assertEquals(4, b.sends(1).size());
-    assertTrue(b.refused(1));
+    assertEquals(4, fixture.sends(1).size());
+    assertTrue(fixture.refused(1));
   }
 
   @Test
   void strayEventsAreIgnored() {
-    DispatcherFixture b = bench().list(2);
-    int before = b.actions.size();
-    b.event(new AttemptOutcome(5, 0, 1, OutcomeCode.OK, 5, true, CopyStatus.NONE, -1, null))
+    DispatcherFixture fixture = fixture().list(2);
+    int before = fixture.actions.size();
+    fixture
+        .event(new AttemptOutcome(5, 0, 1, OutcomeCode.OK, 5, true, CopyStatus.NONE, -1, null))
         .event(new TimerFired(77))
         .event(new ClientDisconnected(8))
         .event(new ProbeResult(1, 99, OutcomeCode.OK, null))
         .event(new PreloadResult(1, 1, 99, OutcomeCode.OK, 3))
         .event(new StreamStarted(5, 0, 1))
         .event(new PeerMessage(1, new byte[3]));
-    assertEquals(before, b.actions.size());
+    assertEquals(before, fixture.actions.size());
   }
 
   // ---------------------------------------------------------------- rules 3, 4 and 5
 
   @Test
   void drainingAndGoneWorkersGetNothing() {
-    DispatcherFixture b = bench().list(3);
-    b.event(
+    DispatcherFixture fixture = fixture().list(3);
+    fixture.event(
         new WorkerListUpdate(
-            ListKind.DELTA, List.of(DispatcherFixture.member(1, WorkerState.DRAINING, 0))));
-    b.event(
+            ListKind.DELTA, List.of(DispatcherFixture.entry(1, WorkerState.DRAINING, 0))));
+    fixture.event(
         new WorkerListUpdate(
             ListKind.FULL,
             List.of(
-                DispatcherFixture.member(1, WorkerState.DRAINING, 0),
-                DispatcherFixture.member(3, WorkerState.READY, 0))));
+                DispatcherFixture.entry(1, WorkerState.DRAINING, 0),
+                DispatcherFixture.entry(3, WorkerState.READY, 0))));
     for (int i = 0; i < 50; i++) {
-      b.call(i, SAFE, i);
+      fixture.call(i, IDEMPOTENT_CLASS, i);
     }
-    assertTrue(b.all(Send.class).stream().allMatch(s -> s.worker() == 3));
-    assertFalse(b.all(Send.class).isEmpty());
+    assertTrue(fixture.all(Send.class).stream().allMatch(s -> s.worker() == 3));
+    assertFalse(fixture.all(Send.class).isEmpty());
   }
 
   @Test
   void aColdWorkerGetsItsShareOnly() {
-    DispatcherFixture b = bench().list(3);
-    b.event(
+    DispatcherFixture fixture = fixture().list(3);
+    fixture.event(
         new WorkerListUpdate(
-            ListKind.DELTA, List.of(DispatcherFixture.member(9, WorkerState.READY, b.now))));
+            ListKind.DELTA, List.of(DispatcherFixture.entry(9, WorkerState.READY, fixture.now))));
     int id = 0;
     for (int round = 0; round < 40; round++) { // two seconds, forty calls a second
       for (int k = 0; k < 2; k++) {
-        b.call(++id, SAFE, id % 20);
-        if (!b.sends(id).isEmpty()) {
-          b.outcome(b.lastSend(), 0, OutcomeCode.OK, 1);
+        fixture.call(++id, IDEMPOTENT_CLASS, id % 20);
+        if (!fixture.sends(id).isEmpty()) {
+          fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 1);
         }
       }
-      b.pass(50);
+      fixture.pass(50);
     }
-    long cold = b.all(Send.class).stream().filter(s -> s.worker() == 9).count();
+    long cold = fixture.all(Send.class).stream().filter(s -> s.worker() == 9).count();
     // Warm workers bear about 27 in two seconds; a cold one may get 3 x 15% of what they do.
     assertTrue(cold <= 12, "sent " + cold);
   }
 
   @Test
   void ordersToLoadKeepTheirRation() {
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 3).list(12);
     for (int id = 1; id <= 300; id++) {
-      b.at(10)
+      fixture
+          .at(10)
           .event(new TimerFired(-1))
-          .call(id, SAFE, id % 2); // much demand for two functions: many homes
-      if (!b.sends(id).isEmpty()) {
-        b.outcome(b.lastSend(), 0, OutcomeCode.OK, 400);
+          .call(id, IDEMPOTENT_CLASS, id % 2); // much demand for two functions: many homes
+      if (!fixture.sends(id).isEmpty()) {
+        fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 400);
       }
     }
-    int orders = b.all(Preload.class).size();
+    int orders = fixture.all(Preload.class).size();
     assertTrue(orders > 2, "orders " + orders);
     assertTrue(orders <= 2 + 0.15 * 300, "orders " + orders);
   }
@@ -183,27 +186,27 @@
 
   @Test
   void aWarmFreeWorkerWinsNearlyEveryDraw() {
-    DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
-    int warm = b.lastSend().worker();
-    b.at(500).outcome(b.lastSend(), 0, OutcomeCode.OK, 500);
+    DispatcherFixture fixture = fixture().list(6).call(1, IDEMPOTENT_CLASS, 9);
+    int warm = fixture.lastSend().worker();
+    fixture.at(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
     int same = 0;
     for (int id = 2; id < 102; id++) {
-      b.at(40).call(id, SAFE, 9);
-      same += b.lastSend().worker() == warm ? 1 : 0;
-      b.at(40).outcome(b.lastSend(), 0, OutcomeCode.OK, 40);
+      fixture.at(40).call(id, IDEMPOTENT_CLASS, 9);
+      same += fixture.lastSend().worker() == warm ? 1 : 0;
+      fixture.at(40).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 40);
     }
     assertTrue(same >= 90, "warm " + same);
   }
 
   @Test
   void aWorkerWithManyOwnCallsLosesItsDraws() {
-    DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
-    int warm = b.lastSend().worker();
-    b.at(500).outcome(b.lastSend(), 0, OutcomeCode.OK, 500);
+    DispatcherFixture fixture = fixture().list(6).call(1, IDEMPOTENT_CLASS, 9);
+    int warm = fixture.lastSend().worker();
+    fixture.at(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
     for (int id = 2; id < 14; id++) {
-      b.call(id, SAFE, 9);
+      fixture.call(id, IDEMPOTENT_CLASS, 9);
     }
-    long others = b.all(Send.class).stream().skip(1).filter(s -> s.worker() != warm).count();
+    long others = fixture.all(Send.class).stream().skip(1).filter(s -> s.worker() != warm).count();
     assertTrue(others >= 4, "others " + others);
   }
 
@@ -215,16 +218,16 @@
   void ownCallsWeighAgainstAWarmCopy() {
     int others = 0;
     for (int seed = 1; seed <= 40; seed++) {
-      DispatcherFixture b =
+      DispatcherFixture fixture =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
               .list(6)
-              .call(1, SAFE, 9);
-      int warm = b.lastSend().worker();
-      b.at(500).outcome(b.lastSend(), 0, OutcomeCode.OK, 500);
+              .call(1, IDEMPOTENT_CLASS, 9);
+      int warm = fixture.lastSend().worker();
+      fixture.at(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
       for (int id = 2; id < 14; id++) {
-        b.call(id, SAFE, 9);
+        fixture.call(id, IDEMPOTENT_CLASS, 9);
       }
-      others += b.all(Send.class).stream().skip(1).filter(s -> s.worker() != warm).count();
+      others += fixture.all(Send.class).stream().skip(1).filter(s -> s.worker() != warm).count();
     }
     assertTrue(others >= 270, "others " + others);
   }
@@ -234,9 +237,9 @@
   void thePlanKeepsAFunctionAtItsHome() {
     int most = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      DispatcherFixture b = oneBusyFunction(2, seed);
+      DispatcherFixture fixture = oneBusyFunction(2, seed);
       int[] at = new int[7];
-      b.all(Send.class).stream()
+      fixture.all(Send.class).stream()
           .filter(s -> s.call() > 150 && s.call() % 6 == 0)
           .forEach(s -> at[s.worker()]++);
       most += Arrays.stream(at).max().orElse(0);
@@ -262,37 +265,49 @@
 
   /** Fifteen seconds of calls, one in six of them for function 1; copies have so many lanes. */
   private static DispatcherFixture oneBusyFunction(int lanes, int seed) {
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), seed).list(6);
     for (int id = 1; id <= 300; id++) {
-      b.event(
+      fixture.event(
           new CallArrival(
               id,
-              2500 * MS,
+              2500 * MILLISECOND,
               0,
               id % 6 == 0 ? 1 : id % 40 + 2,
               lanes,
               300,
-              SAFE,
+              IDEMPOTENT_CLASS,
               0,
               false,
               false,
-              500 * MS));
-      b.pass(50);
-      b.sends(id).forEach(send -> b.outcome(send, 0, OutcomeCode.OK, 150));
+              500 * MILLISECOND));
+      fixture.pass(50);
+      fixture.sends(id).forEach(send -> fixture.outcome(send, 0, OutcomeCode.OK, 150));
     }
-    return b;
+    return fixture;
   }
 
   @Test
   void aLoadThatOutlastsTheCallIsPassedOver() {
-    DispatcherFixture b =
-        bench()
+    DispatcherFixture fixture =
+        fixture()
             .list(4)
-            .event(new CallArrival(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
-    assertTrue(b.sends(1).isEmpty());
-    b.at(400).event(new TimerFired(1));
-    assertTrue(b.refused(1));
+            .event(
+                new CallArrival(
+                    1,
+                    400 * MILLISECOND,
+                    0,
+                    9,
+                    2,
+                    300,
+                    NOT_IDEMPOTENT_CLASS,
+                    0,
+                    false,
+                    false,
+                    900 * MILLISECOND));
+    assertTrue(fixture.sends(1).isEmpty());
+    fixture.at(400).event(new TimerFired(1));
+    assertTrue(fixture.refused(1));
   }
 
   @Test
@@ -301,16 +316,16 @@
       int first =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 1)
               .list(8)
-              .call(1, SAFE, function)
+              .call(1, IDEMPOTENT_CLASS, function)
               .lastSend()
               .worker();
       int votes = 0;
       for (long seed = 2; seed < 12; seed++) {
-        DispatcherFixture b =
+        DispatcherFixture fixture =
             new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
                 .list(8)
-                .call(1, SAFE, function);
-        votes += b.lastSend().worker() == first ? 1 : 0;
+                .call(1, IDEMPOTENT_CLASS, function);
+        votes += fixture.lastSend().worker() == first ? 1 : 0;
       }
       assertTrue(votes >= 5, "function " + function + ": " + votes);
     }
@@ -327,40 +342,45 @@
     DispatcherFixture paid = learn(true);
     DispatcherFixture unpaid = learn(false);
     double gain =
-        paid.choice.weights[7] - unpaid.choice.weights[7]; // the own hall, paid in one of the two
+        paid.dispatcher.weights[7]
+            - unpaid.dispatcher.weights[7]; // the own hall, paid in one of the two
     assertTrue(gain > 0, "gain " + gain);
   }
 
   private static DispatcherFixture learn(boolean homeHallPays) {
-    DispatcherFixture b = bench().list(9);
+    DispatcherFixture fixture = fixture().list(9);
     for (int id = 1; id < 1500; id++) {
-      b.at(30).call(id, SAFE, id % 40);
-      boolean own = b.lastSend().worker() % 3 == 0;
-      b.at(30).outcome(b.lastSend(), 0, OutcomeCode.OK, own == homeHallPays ? 20 : 1200);
+      fixture.at(30).call(id, IDEMPOTENT_CLASS, id % 40);
+      boolean own = fixture.lastSend().worker() % 3 == 0;
+      fixture
+          .at(30)
+          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, own == homeHallPays ? 20 : 1200);
     }
-    return b;
+    return fixture;
   }
 
   @Test
   void weightsStayBoundedUnderNoise() {
-    DispatcherFixture b = bench().list(9);
+    DispatcherFixture fixture = fixture().list(9);
     java.util.Random noise = new java.util.Random(1);
     for (int id = 1; id < 6000; id++) {
-      b.at(20).call(id, SAFE, id); // a scan: no function comes twice
-      if (!b.sends(id).isEmpty()) {
-        b.outcome(
-            b.lastSend(),
+      fixture.at(20).call(id, IDEMPOTENT_CLASS, id); // a scan: no function comes twice
+      if (!fixture.sends(id).isEmpty()) {
+        fixture.outcome(
+            fixture.lastSend(),
             0,
             noise.nextInt(5) == 0 ? OutcomeCode.ERROR : OutcomeCode.OK,
             noise.nextInt(2000));
       }
-      b.actions.clear();
+      fixture.actions.clear();
     }
     double[] start =
-        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 1).choice.weights;
+        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 1)
+            .dispatcher
+            .weights;
     for (int k = 0; k < start.length; k++) {
       double most = 0.5 * Math.abs(start[k]) + 0.5;
-      assertTrue(Math.abs(b.choice.weights[k] - start[k]) <= most + 1e-9, "weight " + k);
+      assertTrue(Math.abs(fixture.dispatcher.weights[k] - start[k]) <= most + 1e-9, "weight " + k);
     }
   }
 
@@ -369,12 +389,12 @@
   /** Incident ib7a926: a full worker answers at once and so drew ever more calls. */
   @Test
   void aFullWorkerIsPassedOverForAWhile() {
-    DispatcherFixture b = bench().list(2).call(1, SAFE, 9);
-    int full = b.lastSend().worker();
-    b.outcome(b.lastSend(), 0, OutcomeCode.FULL, 1);
+    DispatcherFixture fixture = fixture().list(2).call(1, IDEMPOTENT_CLASS, 9);
+    int full = fixture.lastSend().worker();
+    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.FULL, 1);
     for (int id = 2; id < 12; id++) {
-      b.at(1).call(id, SAFE, 9);
-      assertFalse(b.lastSend().worker() == full);
+      fixture.at(1).call(id, IDEMPOTENT_CLASS, 9);
+      assertFalse(fixture.lastSend().worker() == full);
     }
   }
 
@@ -382,7 +402,7 @@
   @Test
   void aTurnAwayCountsForItsTenantAndClassAlone() {
     Settings s = DispatcherFixture.settings(false, DedupScope.ALL);
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(
             new Settings(
                 0,
@@ -401,16 +421,28 @@
                 s.loadReportFormat(),
                 s.costs()),
             7);
-    b.list(6).call(1, SAFE, 9);
-    int home = b.lastSend().worker();
-    b.at(20).outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
-    b.at(20).call(2, SAFE, 9);
-    assertEquals(home, b.lastSend().worker());
-    b.outcome(b.lastSend(), 0, OutcomeCode.FULL, 1);
-    b.call(3, SAFE, 9);
-    assertFalse(b.lastSend().worker() == home);
-    b.event(new CallArrival(4, 2500 * MS, 0, 9, 2, 300, SAFE, 1, false, false, 500 * MS));
-    assertEquals(home, b.lastSend().worker());
+    fixture.list(6).call(1, IDEMPOTENT_CLASS, 9);
+    int home = fixture.lastSend().worker();
+    fixture.at(20).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
+    fixture.at(20).call(2, IDEMPOTENT_CLASS, 9);
+    assertEquals(home, fixture.lastSend().worker());
+    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.FULL, 1);
+    fixture.call(3, IDEMPOTENT_CLASS, 9);
+    assertFalse(fixture.lastSend().worker() == home);
+    fixture.event(
+        new CallArrival(
+            4,
+            2500 * MILLISECOND,
+            0,
+            9,
+            2,
+            300,
+            IDEMPOTENT_CLASS,
+            1,
+            false,
+            false,
+            500 * MILLISECOND));
+    assertEquals(home, fixture.lastSend().worker());
   }
 
   /**
@@ -419,11 +451,15 @@
    */
   @Test
   void aFrontEndThatHasJustStartedRefusesNothing() {
-    DispatcherFixture b = bench().list(20);
+    DispatcherFixture fixture = fixture().list(20);
     for (int id = 1; id <= 5; id++) {
-      b.call(id, SAFE, id % 3).pass(150).outcome(b.lastSend(), 0, OutcomeCode.OK, 150).pass(150);
+      fixture
+          .call(id, IDEMPOTENT_CLASS, id % 3)
+          .pass(150)
+          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 150)
+          .pass(150);
     }
-    assertTrue(b.all(Refuse.class).isEmpty());
+    assertTrue(fixture.all(Refuse.class).isEmpty());
   }
 
   /**
@@ -432,50 +468,51 @@
    */
   @Test
   void aThinStreamShedsWhenAnswersAreLate() {
-    DispatcherFixture b = bench().list(6);
+    DispatcherFixture fixture = fixture().list(6);
     int id = 0;
     for (; id < 60; id++) {
-      b.call(id, SAFE, id % 5).pass(350);
-      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 1800));
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5).pass(350);
+      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 1800));
     }
-    int refused = b.all(Refuse.class).size();
+    int refused = fixture.all(Refuse.class).size();
     assertTrue(refused > 5 && refused < 60, "refused " + refused);
     for (; id < 120; id++) {
-      b.call(id, SAFE, id % 5).pass(350);
-      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5).pass(350);
+      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
     }
-    int before = b.all(Refuse.class).size();
+    int before = fixture.all(Refuse.class).size();
     for (; id < 150; id++) {
-      b.call(id, SAFE, id % 5).pass(350);
-      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5).pass(350);
+      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
     }
-    assertEquals(before, b.all(Refuse.class).size());
+    assertEquals(before, fixture.all(Refuse.class).size());
   }
 
   /** Incident if4a944: every front end began loads until the store stopped. */
   @Test
   void failedLoadsShrinkTheNumberOfOwnLoads() {
-    DispatcherFixture b = bench().list(8);
+    DispatcherFixture fixture = fixture().list(8);
     for (int id = 1; id <= 30; id++) {
-      b.call(id, UNSAFE, id);
+      fixture.call(id, NOT_IDEMPOTENT_CLASS, id);
     }
-    int before = b.all(Send.class).size();
+    int before = fixture.all(Send.class).size();
     assertTrue(before < 30, "loads at once " + before);
-    Send first = b.all(Send.class).get(0);
-    b.at(500)
+    Send first = fixture.all(Send.class).get(0);
+    fixture
+        .at(500)
         .event(
             new AttemptOutcome(
                 first.call(),
                 0,
                 first.worker(),
                 OutcomeCode.ERROR,
-                500 * MS,
+                500 * MILLISECOND,
                 false,
                 CopyStatus.LOAD_FAILED,
                 -1,
                 null));
-    assertEquals(before, b.all(Send.class).size());
-    assertEquals(before / 2.0, b.choice.loadLimit, 0.5);
+    assertEquals(before, fixture.all(Send.class).size());
+    assertEquals(before / 2.0, fixture.dispatcher.loadLimit, 0.5);
   }
 
   /**
@@ -483,37 +520,42 @@
    */
   @Test
   void silenceBenchesAWorkerAndOneLongCallDoesNot() {
-    DispatcherFixture b = bench().list(3);
+    DispatcherFixture fixture = fixture().list(3);
     for (int id = 1; id <= 90; id++) { // all three are heard
-      b.at(60).call(id, SAFE, id % 3).at(60).outcome(b.lastSend(), 0, OutcomeCode.OK, 60);
+      fixture
+          .at(60)
+          .call(id, IDEMPOTENT_CLASS, id % 3)
+          .at(60)
+          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 60);
     }
-    b.call(100, SAFE, 0).pass(200);
-    assertTrue(b.choice.workers.values().stream().noneMatch(w -> w.benched));
-    int hung = b.lastSend().worker();
+    fixture.call(100, IDEMPOTENT_CLASS, 0).pass(200);
+    assertTrue(fixture.dispatcher.workers.values().stream().noneMatch(w -> w.benched));
+    int hung = fixture.lastSend().worker();
     for (int id = 101; id < 112; id++) {
-      b.call(id, UNSAFE, 0);
-      if (b.lastSend().worker() != hung) {
-        b.outcome(b.lastSend(), 0, OutcomeCode.OK, 30);
+      fixture.call(id, NOT_IDEMPOTENT_CLASS, 0);
+      if (fixture.lastSend().worker() != hung) {
+        fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 30);
       }
     }
-    b.pass(1800);
-    assertTrue(b.choice.workers.get(hung).benched);
+    fixture.pass(1800);
+    assertTrue(fixture.dispatcher.workers.get(hung).benched);
     assertTrue(
-        b.all(Log.class).stream().anyMatch(l -> l.text().contains("benched: failing or silent")));
+        fixture.all(Log.class).stream()
+            .anyMatch(l -> l.text().contains("benched: failing or silent")));
   }
 
   @Test
   void aCommonCauseDoesNotEmptyThePool() {
-    DispatcherFixture b = bench().list(4);
+    DispatcherFixture fixture = fixture().list(4);
     for (int id = 1; id < 80; id++) {
-      b.at(50).call(id, UNSAFE, id % 4);
-      if (!b.sends(id).isEmpty()) {
-        b.outcome(b.lastSend(), 0, OutcomeCode.ERROR, 5);
+      fixture.at(50).call(id, NOT_IDEMPOTENT_CLASS, id % 4);
+      if (!fixture.sends(id).isEmpty()) {
+        fixture.outcome(fixture.lastSend(), 0, OutcomeCode.ERROR, 5);
       }
-      b.event(new TimerFired(-1));
+      fixture.event(new TimerFired(-1));
     }
-    b.call(1000, UNSAFE, 1);
-    assertEquals(1, b.sends(1000).size());
+    fixture.call(1000, NOT_IDEMPOTENT_CLASS, 1);
+    assertEquals(1, fixture.sends(1000).size());
   }
 
   // ---------------------------------------------------------------- settings, determinism, size
@@ -551,7 +593,8 @@
   void theModulesThatDecideAreFreeOfIo(String module) throws IOException {
     List<String> lines = Files.readAllLines(Path.of("src/main/java/" + module + ".java"));
     String foreign =
-        "import (?!static saddlestall|saddlestall|java\\.util\\.(?!concurrent|Timer|logging)).*|.*(System\\.(?!arraycopy)|Thread|Instant\\.now).*";
+        "import (?!static"
+            + " saddlestall|saddlestall|java\\.util\\.(?!concurrent|Timer|logging)).*|.*(System\\.(?!arraycopy)|Thread|Instant\\.now).*";
     assertEquals(List.of(), lines.stream().filter(l -> l.matches(foreign)).toList());
     int most = module.endsWith("AdaptiveDispatcher") ? 110 : 140;
     assertEquals(List.of(), lines.stream().filter(l -> l.length() > most).toList());
@@ -566,21 +609,24 @@
     int there = 0;
     int without = 0;
     for (int seed = 1; seed <= 200; seed++) {
-      DispatcherFixture b =
+      DispatcherFixture fixture =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
               .list(6)
-              .call(1, SAFE, 7);
-      without += b.sends(1).get(0).worker() == 4 ? 1 : 0;
-      b = new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed).list(6);
-      b.event(new CopyObservation(4, 7, 1_000 * MS, 0.9)).call(1, SAFE, 7);
-      there += b.sends(1).get(0).worker() == 4 ? 1 : 0;
+              .call(1, IDEMPOTENT_CLASS, 7);
+      without += fixture.sends(1).get(0).worker() == 4 ? 1 : 0;
+      fixture =
+          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed).list(6);
+      fixture
+          .event(new CopyObservation(4, 7, 1_000 * MILLISECOND, 0.9))
+          .call(1, IDEMPOTENT_CLASS, 7);
+      there += fixture.sends(1).get(0).worker() == 4 ? 1 : 0;
       List<Observation> own = new ArrayList<>();
-      b.recall(own::add);
+      fixture.exportObservations(own::add);
       assertTrue(
           own.stream().noneMatch(k -> k instanceof CopyObservation),
           "hearsay is not passed on as seen");
-      b.outcome(b.sends(1).get(0), 0, OutcomeCode.OK, 100);
-      b.recall(own::add);
+      fixture.outcome(fixture.sends(1).get(0), 0, OutcomeCode.OK, 100);
+      fixture.exportObservations(own::add);
       assertTrue(own.stream().anyMatch(k -> k instanceof CopyObservation c && c.function() == 7));
     }
     assertTrue(there > 3 * without, "drawn there " + there + " times, without hearsay " + without);
@@ -589,38 +635,40 @@
   /** Rules 3 and 4: no word of others makes a worker one that drains, or that started since. */
   @Test
   void hearsayRevivesNoWorker() {
-    DispatcherFixture b = bench().list(3);
-    b.event(
+    DispatcherFixture fixture = fixture().list(3);
+    fixture.event(
         new WorkerListUpdate(
             ListKind.DELTA, List.of(new WorkerEntry(2, 0, 0, 0, WorkerState.DRAINING, 1, 0))));
-    b.event(new CopyObservation(2, 7, 0, 1))
+    fixture
+        .event(new CopyObservation(2, 7, 0, 1))
         .event(new WorkerObservation(2, 1, 0, 0, 1))
         .event(new CopyObservation(99, 7, 0, 1));
     for (int id = 1; id <= 20; id++) {
-      b.call(id, SAFE, 7);
-      assertNotEquals(2, b.sends(id).get(0).worker());
-      b.outcome(b.sends(id).get(0), 0, OutcomeCode.OK, 100);
+      fixture.call(id, IDEMPOTENT_CLASS, 7);
+      assertNotEquals(2, fixture.sends(id).get(0).worker());
+      fixture.outcome(fixture.sends(id).get(0), 0, OutcomeCode.OK, 100);
     }
   }
 
   /** Waits for loads are no overload: the calls that come meanwhile are not refused. */
   @Test
   void loadsUnderWayDoNotLeadToRefusals() {
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 5).list(6);
     for (int id = 1; id <= 5; id++) {
-      b.call(id, SAFE, id); // each begins a load that lasts longer than the aim
+      fixture.call(id, IDEMPOTENT_CLASS, id); // each begins a load that lasts longer than the aim
     }
-    b.pass(1_000);
+    fixture.pass(1_000);
     for (int id = 1; id <= 5; id++) {
-      Send s = b.sends(id).get(0);
-      b.event(
+      Send s = fixture.sends(id).get(0);
+      fixture
+          .event(
               new AttemptOutcome(
                   s.call(),
                   0,
                   s.worker(),
                   OutcomeCode.OK,
-                  700 * MS,
+                  700 * MILLISECOND,
                   true,
                   CopyStatus.BEGAN_LOAD,
                   0,
@@ -628,12 +676,13 @@
           .pass(50);
     }
     for (int id = 6; id <= 40; id++) {
-      b.call(id, SAFE, id % 5 + 1);
-      assertFalse(b.refused(id), "call " + id);
-      b.sends(id)
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5 + 1);
+      assertFalse(fixture.refused(id), "call " + id);
+      fixture
+          .sends(id)
           .forEach(
               s ->
-                  b.outcome(
+                  fixture.outcome(
                       s, 0, OutcomeCode.OK, 150)); // the usual time, so that all are worth the same
     }
   }
@@ -644,14 +693,14 @@
    */
   @Test
   void callsInFlightAloneDoNotLeadToRefusals() {
-    DispatcherFixture b = bench().list(6);
+    DispatcherFixture fixture = fixture().list(6);
     for (int id = 1; id <= 60; id++) {
-      b.call(id, SAFE, id % 3).pass(50);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 3).pass(50);
       if (id % 2 == 0) {
-        b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
+        fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
       }
     }
-    assertTrue(b.all(Refuse.class).isEmpty());
+    assertTrue(fixture.all(Refuse.class).isEmpty());
   }
 
   /**
@@ -662,15 +711,23 @@
   void anIdleFrontEndWithAShortAimRefusesNothing() {
     CallClass quick =
         new CallClass(
-            300 * MS, 0, 2500 * MS, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false);
-    DispatcherFixture b =
+            300 * MILLISECOND,
+            0,
+            2500 * MILLISECOND,
+            Idempotency.IDEMPOTENT,
+            DedupScope.ALL,
+            0,
+            1,
+            0.2,
+            false);
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(List.of(quick), false), 3)
             .list(6)
             .pass(3_000);
     for (int id = 1; id <= 20; id++) {
-      b.call(id, SAFE, 1);
+      fixture.call(id, IDEMPOTENT_CLASS, 1);
     }
-    assertTrue(b.all(Refuse.class).isEmpty());
+    assertTrue(fixture.all(Refuse.class).isEmpty());
   }
 
   /**
@@ -680,26 +737,30 @@
   @ParameterizedTest
   @EnumSource(Idempotency.class)
   void aLateCallGetsASecondCopy(Idempotency effect) {
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ZONE), 7).list(6);
     for (int id = 1; id <= 30; id++) {
-      b.call(id, SAFE, 9); // many at once, so that copies come to stand at all workers
+      fixture.call(
+          id, IDEMPOTENT_CLASS, 9); // many at once, so that copies come to stand at all workers
     }
-    b.at(60);
-    b.all(Send.class).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 60));
-    b.at(50)
+    fixture.at(60);
+    fixture.all(Send.class).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
+    fixture
+        .at(50)
         .call(
             100,
-            effect.ordinal() == 0 ? SAFE : effect == Idempotency.DEDUPLICATED ? KEYED : UNSAFE,
+            effect.ordinal() == 0
+                ? IDEMPOTENT_CLASS
+                : effect == Idempotency.DEDUPLICATED ? DEDUPLICATED_CLASS : NOT_IDEMPOTENT_CLASS,
             9)
         .pass(1_000);
-    List<Send> sends = b.sends(100);
+    List<Send> sends = fixture.sends(100);
     assertEquals(effect == Idempotency.NOT_IDEMPOTENT ? 1 : 2, sends.size());
     if (effect != Idempotency.NOT_IDEMPOTENT) {
       assertFalse(sends.get(0).worker() == sends.get(1).worker());
-      b.outcome(sends.get(1), 1, OutcomeCode.OK, 60).at(50);
-      int before = b.actions.size();
-      b.event(
+      fixture.outcome(sends.get(1), 1, OutcomeCode.OK, 60).at(50);
+      int before = fixture.actions.size();
+      fixture.event(
           new AttemptOutcome(
               100,
               0,
@@ -710,7 +771,7 @@
               CopyStatus.NONE,
               -1,
               null));
-      assertEquals(before, b.actions.size());
+      assertEquals(before, fixture.actions.size());
     }
     if (effect == Idempotency.DEDUPLICATED) {
       assertEquals(sends.get(0).worker() % 3, sends.get(1).worker() % 3);
@@ -723,32 +784,32 @@
    */
   @Test
   void aLostConnectionCountsOnce() {
-    DispatcherFixture b = bench().list(1);
+    DispatcherFixture fixture = fixture().list(1);
     for (int id = 1; id <= 10; id++) {
-      b.call(id, UNSAFE, 9);
+      fixture.call(id, NOT_IDEMPOTENT_CLASS, 9);
     }
-    b.at(20);
-    List.copyOf(b.all(Send.class)).forEach(s -> b.outcome(s, 0, OutcomeCode.RESET, 20));
-    assertEquals(0.2, b.choice.workers.get(1).bad, 1e-9);
+    fixture.at(20);
+    List.copyOf(fixture.all(Send.class)).forEach(s -> fixture.outcome(s, 0, OutcomeCode.RESET, 20));
+    assertEquals(0.2, fixture.dispatcher.workers.get(1).failureRate, 1e-9);
   }
 
   /** Bad clients: errors for functions that no worker knows are no sign of a worker's health. */
   @Test
   void nonsenseBenchesNoWorker() {
-    DispatcherFixture b = bench().list(4);
+    DispatcherFixture fixture = fixture().list(4);
     for (int id = 1; id <= 40; id++) {
-      b.call(id, UNSAFE, 1_000 + id).at(5);
-      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.ERROR, 5));
+      fixture.call(id, NOT_IDEMPOTENT_CLASS, 1_000 + id).at(5);
+      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.ERROR, 5));
     }
-    assertTrue(b.choice.workers.values().stream().allMatch(w -> w.bad == 0));
+    assertTrue(fixture.dispatcher.workers.values().stream().allMatch(w -> w.failureRate == 0));
   }
 
   /** A call that nothing can serve is refused while that costs little, not when its time is up. */
   @Test
   void aHeldCallIsRefusedBeforeHalfItsTimeHasPassed() {
-    DispatcherFixture b = bench().call(1, SAFE, 9).pass(1_000);
-    assertFalse(b.refused(1));
-    assertTrue(b.pass(200).refused(1));
+    DispatcherFixture fixture = fixture().call(1, IDEMPOTENT_CLASS, 9).pass(1_000);
+    assertFalse(fixture.refused(1));
+    assertTrue(fixture.pass(200).refused(1));
   }
 
   /**
@@ -757,35 +818,73 @@
    */
   @Test
   void aLoadThatOutlastsItsCallsIsOrdered() {
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7).list(4);
-    b.event(new CallArrival(1, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
-    assertTrue(b.sends(1).isEmpty());
-    assertTrue(b.all(Preload.class).isEmpty()); // one call alone is not worth the memory
+    fixture.event(
+        new CallArrival(
+            1,
+            400 * MILLISECOND,
+            0,
+            9,
+            2,
+            300,
+            NOT_IDEMPOTENT_CLASS,
+            0,
+            false,
+            false,
+            900 * MILLISECOND));
+    assertTrue(fixture.sends(1).isEmpty());
+    assertTrue(fixture.all(Preload.class).isEmpty()); // one call alone is not worth the memory
     for (int id = 10; id < 20; id++) {
-      b.event(new CallArrival(id, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
+      fixture.event(
+          new CallArrival(
+              id,
+              400 * MILLISECOND,
+              0,
+              9,
+              2,
+              300,
+              NOT_IDEMPOTENT_CLASS,
+              0,
+              false,
+              false,
+              900 * MILLISECOND));
     }
-    Preload order = b.all(Preload.class).get(0);
+    Preload order = fixture.all(Preload.class).get(0);
     assertEquals(9, order.function());
-    b.at(900).event(new PreloadResult(900 * MS, 1, order.worker(), OutcomeCode.OK, 9));
-    b.event(new CallArrival(3, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
-    assertEquals(order.worker(), b.sends(3).get(0).worker());
+    fixture
+        .at(900)
+        .event(new PreloadResult(900 * MILLISECOND, 1, order.worker(), OutcomeCode.OK, 9));
+    fixture.event(
+        new CallArrival(
+            3,
+            400 * MILLISECOND,
+            0,
+            9,
+            2,
+            300,
+            NOT_IDEMPOTENT_CLASS,
+            0,
+            false,
+            false,
+            900 * MILLISECOND));
+    assertEquals(order.worker(), fixture.sends(3).get(0).worker());
   }
 
   /** Bad clients: a function that nobody ever served is not tried at every worker there is. */
   @Test
   void nonsenseIsTriedTwice() {
-    DispatcherFixture b = bench().list(6);
+    DispatcherFixture fixture = fixture().list(6);
     for (int id = 1; id <= 40; id++) {
-      b.call(id, SAFE, 9);
-      b.outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
+      fixture.call(id, IDEMPOTENT_CLASS, 9);
+      fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
     }
-    b.call(50, SAFE, 77);
+    fixture.call(50, IDEMPOTENT_CLASS, 77);
     for (int i = 0; i < 3; i++) {
-      b.outcome(b.lastSend(), i, OutcomeCode.ERROR, 5);
+      fixture.outcome(fixture.lastSend(), i, OutcomeCode.ERROR, 5);
     }
-    assertEquals(2, b.sends(50).size());
-    assertTrue(b.refused(50));
+    assertEquals(2, fixture.sends(50).size());
+    assertTrue(fixture.refused(50));
   }
 
   /**
@@ -794,26 +893,30 @@
    */
   @Test
   void aHallWhoseWorkersFailOneAfterTheOtherIsPassedOverWhole() {
-    DispatcherFixture b = bench().list(45);
+    DispatcherFixture fixture = fixture().list(45);
     int lost = 0;
     for (int id = 1; id <= 90; id++) {
-      b.call(id, SAFE, id);
-      for (int i = 0; i < b.sends(id).size(); i++) {
-        boolean fails = b.sends(id).get(i).worker() % 3 == 1;
+      fixture.call(id, IDEMPOTENT_CLASS, id);
+      for (int i = 0; i < fixture.sends(id).size(); i++) {
+        boolean fails = fixture.sends(id).get(i).worker() % 3 == 1;
         lost += fails ? 1 : 0;
-        b.outcome(b.sends(id).get(i), i, fails ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK, 10);
+        fixture.outcome(
+            fixture.sends(id).get(i), i, fails ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK, 10);
       }
-      b.pass(50);
+      fixture.pass(50);
     }
     assertTrue(lost <= 12, lost + " sends to a hall of 15 workers that is lost");
 
-    b.pass(1_000).call(100, SAFE, 100);
-    assertEquals(1, b.lastSend().worker() % 3, "a trial");
-    b.outcome(b.lastSend(), 0, OutcomeCode.OK, 10).pass(50);
+    fixture.pass(1_000).call(100, IDEMPOTENT_CLASS, 100);
+    assertEquals(1, fixture.lastSend().worker() % 3, "a trial");
+    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 10).pass(50);
     int back = 0;
     for (int id = 101; id <= 160; id++) {
-      b.call(id, SAFE, id).outcome(b.lastSend(), 0, OutcomeCode.OK, 10).pass(50);
-      back += b.lastSend().worker() % 3 == 1 ? 1 : 0;
+      fixture
+          .call(id, IDEMPOTENT_CLASS, id)
+          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 10)
+          .pass(50);
+      back += fixture.lastSend().worker() % 3 == 1 ? 1 : 0;
     }
     assertTrue(back > 5, "only " + back + " sends of 60 to a hall that is back");
   }
@@ -827,7 +930,7 @@
     for (boolean told : new boolean[] {true, false}) {
       Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
       LoadPolicy l = s.loadPolicy();
-      DispatcherFixture b =
+      DispatcherFixture fixture =
           new DispatcherFixture(
               new Settings(
                   0,
@@ -855,10 +958,13 @@
                   s.loadReportFormat(),
                   s.costs()),
               7);
-      b.list(1).call(1, SAFE, 9);
-      b.event(
-          new AttemptOutcome(1, 0, 1, OutcomeCode.OK, 50 * MS, false, CopyStatus.WARM, 0, null));
-      assertEquals(told ? b.now : 0, b.choice.workers.get(1).copies.get(9L).crowdAt);
+      fixture.list(1).call(1, IDEMPOTENT_CLASS, 9);
+      fixture.event(
+          new AttemptOutcome(
+              1, 0, 1, OutcomeCode.OK, 50 * MILLISECOND, false, CopyStatus.WARM, 0, null));
+      assertEquals(
+          told ? fixture.now : 0,
+          fixture.dispatcher.workers.get(1).copies.get(9L).concurrencyReportedAt);
     }
   }
 
@@ -868,42 +974,42 @@
    */
   @Test
   void theOnlyHallIsNotBenchedWhole() {
-    List<WorkerEntry> members =
+    List<WorkerEntry> entries =
         IntStream.rangeClosed(1, 12)
             .mapToObj(id -> new WorkerEntry(id, 0, 0, 0, WorkerState.READY, 1, 0))
             .toList();
-    DispatcherFixture b = bench().event(new WorkerListUpdate(ListKind.FULL, members));
+    DispatcherFixture fixture = fixture().event(new WorkerListUpdate(ListKind.FULL, entries));
     for (int id = 1; id <= 20; id++) {
-      b.call(id, SAFE, id);
-      for (int i = 0; i < b.sends(id).size(); i++) {
-        if (b.sends(id).get(i).worker() <= 6) { // the others have not answered yet
-          b.outcome(b.sends(id).get(i), i, OutcomeCode.CONNECT_FAILED, 10);
+      fixture.call(id, IDEMPOTENT_CLASS, id);
+      for (int i = 0; i < fixture.sends(id).size(); i++) {
+        if (fixture.sends(id).get(i).worker() <= 6) { // the others have not answered yet
+          fixture.outcome(fixture.sends(id).get(i), i, OutcomeCode.CONNECT_FAILED, 10);
         }
       }
-      b.pass(20);
+      fixture.pass(20);
     }
     assertTrue(
-        b.all(Log.class).stream().noneMatch(l -> l.text().contains("hall")),
-        b.all(Log.class).toString());
+        fixture.all(Log.class).stream().noneMatch(l -> l.text().contains("hall")),
+        fixture.all(Log.class).toString());
   }
 
   /** One bad worker in a hall says nothing of the others there. */
   @Test
   void aHallWithOneFailingWorkerIsUsed() {
-    DispatcherFixture b = bench().list(30);
+    DispatcherFixture fixture = fixture().list(30);
     int hall = 0;
     for (int id = 1; id <= 200; id++) {
-      b.call(id, SAFE, id % 20);
-      for (int i = 0; i < b.sends(id).size(); i++) {
-        int worker = b.sends(id).get(i).worker();
-        b.outcome(
-            b.sends(id).get(i),
+      fixture.call(id, IDEMPOTENT_CLASS, id % 20);
+      for (int i = 0; i < fixture.sends(id).size(); i++) {
+        int worker = fixture.sends(id).get(i).worker();
+        fixture.outcome(
+            fixture.sends(id).get(i),
             i,
             worker == 1 || worker == 4 ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK,
             10);
         hall += worker % 3 == 1 && worker > 4 ? 1 : 0;
       }
-      b.pass(50);
+      fixture.pass(50);
     }
     assertTrue(hall > 20, "only " + hall + " sends to the well workers of the hall");
   }
@@ -936,12 +1042,12 @@
   void manyFrontEndsGiveFewOrdersForTheSameHomes() {
     int orders = 0;
     for (int seed = 1; seed <= 14; seed++) {
-      DispatcherFixture b = new DispatcherFixture(among(14), seed).list(20);
+      DispatcherFixture fixture = new DispatcherFixture(among(14), seed).list(20);
       for (int id = 1; id <= 200; id++) {
-        b.call(id, SAFE, id % 4);
-        b.outcome(b.lastSend(), 0, OutcomeCode.OK, 20).pass(50);
+        fixture.call(id, IDEMPOTENT_CLASS, id % 4);
+        fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20).pass(50);
       }
-      orders += b.all(Preload.class).size();
+      orders += fixture.all(Preload.class).size();
     }
     assertTrue(orders <= 10, orders + " orders of 14 front ends for four functions");
   }
@@ -952,17 +1058,42 @@
    */
   @Test
   void aSilentWorkerGetsNoOrders() {
-    DispatcherFixture b = new DispatcherFixture(among(14), 7).list(1);
-    b.call(1, SAFE, 1).outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
-    b.call(2, UNSAFE, 1).pass(2_000); // no answer comes
+    DispatcherFixture fixture = new DispatcherFixture(among(14), 7).list(1);
+    fixture.call(1, IDEMPOTENT_CLASS, 1).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
+    fixture.call(2, NOT_IDEMPOTENT_CLASS, 1).pass(2_000); // no answer comes
     for (int id = 3; id <= 5; id++) {
-      b.event(new CallArrival(id, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS))
+      fixture
+          .event(
+              new CallArrival(
+                  id,
+                  400 * MILLISECOND,
+                  0,
+                  9,
+                  2,
+                  300,
+                  NOT_IDEMPOTENT_CLASS,
+                  0,
+                  false,
+                  false,
+                  900 * MILLISECOND))
           .at(20);
     }
-    assertTrue(b.all(Preload.class).isEmpty());
-    b.outcome(b.sends(2).get(0), 0, OutcomeCode.OK, 2_000);
-    b.event(new CallArrival(6, 400 * MS, 0, 9, 2, 300, UNSAFE, 0, false, false, 900 * MS));
-    assertEquals(1, b.all(Preload.class).size());
+    assertTrue(fixture.all(Preload.class).isEmpty());
+    fixture.outcome(fixture.sends(2).get(0), 0, OutcomeCode.OK, 2_000);
+    fixture.event(
+        new CallArrival(
+            6,
+            400 * MILLISECOND,
+            0,
+            9,
+            2,
+            300,
+            NOT_IDEMPOTENT_CLASS,
+            0,
+            false,
+            false,
+            900 * MILLISECOND));
+    assertEquals(1, fixture.all(Preload.class).size());
   }
 
   /**
@@ -974,15 +1105,26 @@
     int first = 0;
     int again = 0;
     for (boolean repeat : new boolean[] {false, true}) {
-      DispatcherFixture b = new DispatcherFixture(among(14), 7).list(20);
+      DispatcherFixture fixture = new DispatcherFixture(among(14), 7).list(20);
       for (int id = 1; id <= 100; id++) {
-        b.event(
+        fixture
+            .event(
                 new CallArrival(
-                    id, 400 * MS, 0, id % 50, 2, 300, UNSAFE, 0, repeat, false, 900 * MS))
+                    id,
+                    400 * MILLISECOND,
+                    0,
+                    id % 50,
+                    2,
+                    300,
+                    NOT_IDEMPOTENT_CLASS,
+                    0,
+                    repeat,
+                    false,
+                    900 * MILLISECOND))
             .at(20);
       }
-      first += repeat ? 0 : b.all(Preload.class).size();
-      again += repeat ? b.all(Preload.class).size() : 0;
+      first += repeat ? 0 : fixture.all(Preload.class).size();
+      again += repeat ? fixture.all(Preload.class).size() : 0;
     }
     assertEquals(2, again, "what is free");
     assertTrue(first > 10, first + " orders");
@@ -991,13 +1133,16 @@
   /** One call a second shows that a worker is slow, if it isn't forgotten within five. */
   @Test
   void aSlowWorkerIsKnownByFewCalls() {
-    DispatcherFixture b = new DispatcherFixture(among(14), 7).list(40);
+    DispatcherFixture fixture = new DispatcherFixture(among(14), 7).list(40);
     double slowest = 0;
     for (int id = 1; id <= 400; id++) {
-      b.call(id, SAFE, id % 120);
-      boolean slow = b.lastSend().worker() == 3 || b.lastSend().worker() == 4;
-      b.outcome(b.lastSend(), 0, OutcomeCode.OK, slow ? 400 : 60).pass(50);
-      slowest = Math.max(b.choice.workers.get(3).pace, b.choice.workers.get(4).pace);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 120);
+      boolean slow = fixture.lastSend().worker() == 3 || fixture.lastSend().worker() == 4;
+      fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, slow ? 400 : 60).pass(50);
+      slowest =
+          Math.max(
+              fixture.dispatcher.workers.get(3).latencyRatio,
+              fixture.dispatcher.workers.get(4).latencyRatio);
     }
     assertTrue(slowest > 2, "pace " + slowest);
   }
@@ -1008,25 +1153,25 @@
    */
   @Test
   void aCopyThatOthersWantIsOrderedWithinTheRation() {
-    DispatcherFixture b =
+    DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7)
             .list(3)
-            .call(1, SAFE, 9);
-    b.event(
+            .call(1, IDEMPOTENT_CLASS, 9);
+    fixture.event(
         new WorkerListUpdate(
             ListKind.DELTA,
             List.of(
-                DispatcherFixture.member(2, WorkerState.DRAINING, 0),
-                DispatcherFixture.member(3, WorkerState.READY, b.now - SECOND))));
+                DispatcherFixture.entry(2, WorkerState.DRAINING, 0),
+                DispatcherFixture.entry(3, WorkerState.READY, fixture.now - SECOND))));
     for (int worker : new int[] {2, 3, 77}) {
-      b.event(new CopyRequested(worker, 9));
+      fixture.event(new CopyRequested(worker, 9));
     }
-    b.event(new CopyRequested(1, 10)); // nobody called it
-    assertEquals(0, b.all(Preload.class).size());
+    fixture.event(new CopyRequested(1, 10)); // nobody called it
+    assertEquals(0, fixture.all(Preload.class).size());
     for (int i = 0; i < 5; i++) {
-      b.event(new CopyRequested(1, 9));
+      fixture.event(new CopyRequested(1, 9));
     }
-    assertEquals(2, b.all(Preload.class).size(), "two are free, and one call earns none");
+    assertEquals(2, fixture.all(Preload.class).size(), "two are free, and one call earns none");
   }
 
   /** A deployment without a ration of loads: no default takes its place. */
@@ -1050,11 +1195,11 @@
             new LoadPolicy(true, true, 0, 0, 0, 10 * SECOND, false, true, 0),
             s.loadReportFormat(),
             s.costs());
-    DispatcherFixture b = new DispatcherFixture(none, 7).list(3).call(1, SAFE, 9);
+    DispatcherFixture fixture = new DispatcherFixture(none, 7).list(3).call(1, IDEMPOTENT_CLASS, 9);
     for (int i = 0; i < 50; i++) {
-      b.event(new CopyRequested(1, 9));
+      fixture.event(new CopyRequested(1, 9));
     }
-    assertEquals(50, b.all(Preload.class).size());
+    assertEquals(50, fixture.all(Preload.class).size());
   }
 
   /**
@@ -1063,23 +1208,25 @@
    */
   @Test
   void laterHearsayBenchesAndLetsTry() {
-    DispatcherFixture b = bench().list(6).call(1, SAFE, 9);
-    int worker = b.lastSend().worker();
-    b.outcome(b.lastSend(), 0, OutcomeCode.OK, 20).at(100);
-    b.event(new WorkerObservation(worker, 1, 1, 200 * MS, 1)).pass(100); // seen before the answer
-    assertFalse(b.choice.workers.get(worker).benched);
-    b.event(new WorkerObservation(worker, 1, 1, 0, 1)).pass(100);
-    assertTrue(b.choice.workers.get(worker).benched);
+    DispatcherFixture fixture = fixture().list(6).call(1, IDEMPOTENT_CLASS, 9);
+    int worker = fixture.lastSend().worker();
+    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20).at(100);
+    fixture
+        .event(new WorkerObservation(worker, 1, 1, 200 * MILLISECOND, 1))
+        .pass(100); // seen before the answer
+    assertFalse(fixture.dispatcher.workers.get(worker).benched);
+    fixture.event(new WorkerObservation(worker, 1, 1, 0, 1)).pass(100);
+    assertTrue(fixture.dispatcher.workers.get(worker).benched);
     for (int id = 2; id < 60; id++) { // said again, as a prober does
-      b.call(id, SAFE, id).pass(50);
-      b.outcome(b.lastSend(), 0, OutcomeCode.OK, 50);
-      b.event(new WorkerObservation(worker, 1, 1, 0, 1));
+      fixture.call(id, IDEMPOTENT_CLASS, id).pass(50);
+      fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 50);
+      fixture.event(new WorkerObservation(worker, 1, 1, 0, 1));
     }
     assertEquals(
         1,
-        b.all(Send.class).stream().filter(s -> s.worker() == worker).count(),
+        fixture.all(Send.class).stream().filter(s -> s.worker() == worker).count(),
         "sends that met it");
-    b.event(new WorkerObservation(worker, 1, 0, 0, 1)).call(60, SAFE, 60);
-    assertEquals(worker, b.lastSend().worker(), "tried at once");
+    fixture.event(new WorkerObservation(worker, 1, 0, 0, 1)).call(60, IDEMPOTENT_CLASS, 60);
+    assertEquals(worker, fixture.lastSend().worker(), "tried at once");
   }
 }
--- a/src/test/java/saddlestall/DispatcherFixture.java
+++ b/src/test/java/saddlestall/DispatcherFixture.java
@@ -6,30 +6,38 @@
 
 /** Builds settings and events for tests, and keeps the actions of one instance. */
 final class DispatcherFixture {
-  static final long MS = 1_000;
+  static final long MILLISECOND = 1_000;
   static final long SECOND = 1_000_000;
-  static final int SAFE = 0;
-  static final int UNSAFE = 1;
-  static final int KEYED = 2;
+  static final int IDEMPOTENT_CLASS = 0;
+  static final int NOT_IDEMPOTENT_CLASS = 1;
+  static final int DEDUPLICATED_CLASS = 2;
 
   final List<Action> actions = new ArrayList<>();
-  final AdaptiveDispatcher choice;
+  final AdaptiveDispatcher dispatcher;
   long now;
 
   DispatcherFixture(Settings settings, long seed) {
     now = 100 * SECOND;
-    choice = new AdaptiveDispatcher(settings, seed, now, actions::add);
+    dispatcher = new AdaptiveDispatcher(settings, seed, now, actions::add);
   }
 
   static Settings settings(boolean orders, DedupScope group) {
     List<CallClass> classes =
         List.of(
             new CallClass(
-                600 * MS, 0, 2500 * MS, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false),
+                600 * MILLISECOND,
+                0,
+                2500 * MILLISECOND,
+                Idempotency.IDEMPOTENT,
+                DedupScope.ALL,
+                0,
+                1,
+                0.2,
+                false),
             new CallClass(
-                600 * MS,
+                600 * MILLISECOND,
                 0,
-                2500 * MS,
+                2500 * MILLISECOND,
                 Idempotency.NOT_IDEMPOTENT,
                 DedupScope.ALL,
                 0,
@@ -37,7 +45,15 @@
                 0.2,
                 false),
             new CallClass(
-                600 * MS, 0, 2500 * MS, Idempotency.DEDUPLICATED, group, SECOND, 2, 0.2, false));
+                600 * MILLISECOND,
+                0,
+                2500 * MILLISECOND,
+                Idempotency.DEDUPLICATED,
+                group,
+                SECOND,
+                2,
+                0.2,
+                false));
     return settings(classes, orders);
   }
 
@@ -53,38 +69,39 @@
         false,
         WeightKind.SILENT,
         List.of(),
-        new Limits(true, true, true, false, true, 500 * MS, 4, 250 * MS),
-        new Rules(16 * MS, 10 * SECOND, 250 * MS, 15 * SECOND, 0.15, 2 * SECOND, 3),
+        new Limits(true, true, true, false, true, 500 * MILLISECOND, 4, 250 * MILLISECOND),
+        new Rules(
+            16 * MILLISECOND, 10 * SECOND, 250 * MILLISECOND, 15 * SECOND, 0.15, 2 * SECOND, 3),
         new LoadPolicy(true, orders, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
         new LoadReportFormat(
             ReportDelivery.PROBES, List.of(ReportField.UTILIZATION, ReportField.QUEUE)),
         new Costs(0, 0, 0, 0, 0, 0));
   }
 
-  static WorkerEntry member(int id, WorkerState state, long cameUp) {
+  static WorkerEntry entry(int id, WorkerState state, long cameUp) {
     return new WorkerEntry(id, id % 3, 0, id % 2, state, 1, cameUp);
   }
 
   /** Gives the whole list: workers 1 to n, long up. */
   DispatcherFixture list(int n) {
-    List<WorkerEntry> members = new ArrayList<>();
+    List<WorkerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= n; id++) {
-      members.add(member(id, WorkerState.READY, 0));
+      entries.add(entry(id, WorkerState.READY, 0));
     }
-    return event(new WorkerListUpdate(ListKind.FULL, members));
+    return event(new WorkerListUpdate(ListKind.FULL, entries));
   }
 
   DispatcherFixture event(Event event) {
-    choice.handle(now, event, actions::add);
+    dispatcher.handle(now, event, actions::add);
     return this;
   }
 
-  void recall(java.util.function.Consumer<Dispatcher.Observation> facts) {
-    choice.exportObservations(now, facts);
+  void exportObservations(java.util.function.Consumer<Dispatcher.Observation> facts) {
+    dispatcher.exportObservations(now, facts);
   }
 
   DispatcherFixture at(long millis) {
-    now += millis * MS;
+    now += millis * MILLISECOND;
     return this;
   }
 
@@ -98,7 +115,18 @@
 
   DispatcherFixture call(int id, int callClass, long function) {
     return event(
-        new CallArrival(id, 2500 * MS, 0, function, 2, 300, callClass, 0, false, false, 500 * MS));
+        new CallArrival(
+            id,
+            2500 * MILLISECOND,
+            0,
+            function,
+            2,
+            300,
+            callClass,
+            0,
+            false,
+            false,
+            500 * MILLISECOND));
   }
 
   DispatcherFixture outcome(Send send, int attempt, OutcomeCode code, long tookMillis) {
@@ -109,7 +137,7 @@
             attempt,
             send.worker(),
             code,
-            tookMillis * MS,
+            tookMillis * MILLISECOND,
             code == OutcomeCode.OK,
             note,
             code == OutcomeCode.OK ? 0 : -1,
--- a/src/test/java/saddlestall/RenewalTest.java
+++ b/src/test/java/saddlestall/RenewalTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.DispatcherFixture.MS;
-import static saddlestall.DispatcherFixture.SAFE;
+import static saddlestall.DispatcherFixture.IDEMPOTENT_CLASS;
+import static saddlestall.DispatcherFixture.MILLISECOND;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -17,26 +17,26 @@
 class RenewalTest {
   private static final long FUNCTION = 9;
 
-  private static DispatcherFixture bench(boolean orders) {
+  private static DispatcherFixture fixture(boolean orders) {
     return new DispatcherFixture(DispatcherFixture.settings(orders, DedupScope.ALL), 7).list(4);
   }
 
   /** Serves a call; the worker that did. */
-  private static int serve(DispatcherFixture b, int call) {
-    b.call(call, SAFE, FUNCTION);
-    int worker = b.lastSend().worker();
-    b.at(20).outcome(b.lastSend(), 0, OutcomeCode.OK, 20);
+  private static int serve(DispatcherFixture fixture, int call) {
+    fixture.call(call, IDEMPOTENT_CLASS, FUNCTION);
+    int worker = fixture.lastSend().worker();
+    fixture.at(20).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
     return worker;
   }
 
-  private static DispatcherFixture full(DispatcherFixture b, Send send, int crowd) {
-    return b.event(
+  private static DispatcherFixture full(DispatcherFixture fixture, Send send, int crowd) {
+    return fixture.event(
         new AttemptOutcome(
             send.call(),
             0,
             send.worker(),
             OutcomeCode.FULL,
-            MS,
+            MILLISECOND,
             false,
             CopyStatus.NONE,
             crowd,
@@ -45,10 +45,10 @@
 
   @Test
   void aPermissionThatEndsIsRenewedByAnOrderForWhatStandsThere() {
-    DispatcherFixture b = bench(true);
-    int worker = serve(b, 1);
-    b.event(new LeasesExpiring(List.of(worker), 1));
-    assertEquals(List.of(new Preload(worker, FUNCTION, 1)), b.all(Preload.class));
+    DispatcherFixture fixture = fixture(true);
+    int worker = serve(fixture, 1);
+    fixture.event(new LeasesExpiring(List.of(worker), 1));
+    assertEquals(List.of(new Preload(worker, FUNCTION, 1)), fixture.all(Preload.class));
   }
 
   /**
@@ -56,24 +56,24 @@
    */
   @Test
   void renewalsArePacedWithinTheRation() {
-    DispatcherFixture b = bench(true);
-    serve(b, 1);
+    DispatcherFixture fixture = fixture(true);
+    serve(fixture, 1);
     for (int i = 0; i < 100; i++) {
-      b.event(new LeasesExpiring(List.of(1, 2, 3, 4), 4));
-      assertTrue(b.all(Preload.class).size() <= 1 + i / 40, "after " + i);
-      b.at(50);
+      fixture.event(new LeasesExpiring(List.of(1, 2, 3, 4), 4));
+      assertTrue(fixture.all(Preload.class).size() <= 1 + i / 40, "after " + i);
+      fixture.at(50);
     }
-    assertTrue(b.all(Preload.class).size() >= 2);
+    assertTrue(fixture.all(Preload.class).size() >= 2);
   }
 
   @Test
   void whereOrdersAreNotAllowedACallGoesToTheWorkerWhosePermissionEnds() {
-    DispatcherFixture b = bench(false);
-    int usual = serve(b, 1);
+    DispatcherFixture fixture = fixture(false);
+    int usual = serve(fixture, 1);
     int other = usual % 4 + 1;
-    b.event(new LeasesExpiring(List.of(other), 1));
-    assertEquals(other, serve(b, 2));
-    assertEquals(usual, serve(b, 3));
+    fixture.event(new LeasesExpiring(List.of(other), 1));
+    assertEquals(other, serve(fixture, 2));
+    assertEquals(usual, serve(fixture, 3));
   }
 
   /** It turns away every call for two seconds and holds none: it drains, whatever the list says. */
@@ -95,24 +95,32 @@
    * twenty.
    */
   private static int triesOfFullWorker(int crowd) {
-    DispatcherFixture b = bench(false);
-    int full = serve(b, 1);
+    DispatcherFixture fixture = fixture(false);
+    int full = serve(fixture, 1);
     int tries = 0;
     for (int call = 2; call < 1_202; call++) {
-      b.call(call, SAFE, FUNCTION);
-      Send send = b.lastSend();
+      fixture.call(call, IDEMPOTENT_CLASS, FUNCTION);
+      Send send = fixture.lastSend();
       if (send.worker() == full) {
         tries += call > 402 ? 1 : 0;
-        full(b, send, crowd);
-        send = b.lastSend();
+        full(fixture, send, crowd);
+        send = fixture.lastSend();
         assertFalse(send.worker() == full);
-        b.event(
+        fixture.event(
             new AttemptOutcome(
-                call, 1, send.worker(), OutcomeCode.OK, 20 * MS, true, CopyStatus.WARM, 0, null));
+                call,
+                1,
+                send.worker(),
+                OutcomeCode.OK,
+                20 * MILLISECOND,
+                true,
+                CopyStatus.WARM,
+                0,
+                null));
       } else {
-        b.at(20).outcome(send, 0, OutcomeCode.OK, 20);
+        fixture.at(20).outcome(send, 0, OutcomeCode.OK, 20);
       }
-      b.pass(50);
+      fixture.pass(50);
     }
     return tries;
   }
--- a/src/test/java/saddlestall/RulesTest.java
+++ b/src/test/java/saddlestall/RulesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.DispatcherFixture.MS;
+import static saddlestall.DispatcherFixture.MILLISECOND;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -37,7 +37,7 @@
   private final List<Long> took = new ArrayList<>();
   private final List<Long> orders = new ArrayList<>();
   private final StringBuilder trace = new StringBuilder();
-  private DispatcherFixture b;
+  private DispatcherFixture fixture;
   private int checked;
 
   @ParameterizedTest
@@ -53,22 +53,22 @@
 
   private void run(long seed) {
     Settings s = DispatcherFixture.settings(true, DedupScope.CELL);
-    b = new DispatcherFixture(s, seed);
+    fixture = new DispatcherFixture(s, seed);
     Random r = new Random(seed);
     int id = 0;
     for (int step = 0; step < STEPS; step++) {
-      b.now += r.nextInt(20) * MS;
+      fixture.now += r.nextInt(20) * MILLISECOND;
       deadlines();
       switch (r.nextInt(10)) {
         case 0 -> members(r);
-        case 1, 2 -> b.event(new TimerFired(-1));
+        case 1, 2 -> fixture.event(new TimerFired(-1));
         case 3, 4, 5 -> {
           Seen seen = new Seen();
           seen.call =
               new CallArrival(
                   ++id,
-                  (1 + r.nextInt(2500)) * MS,
-                  r.nextInt(2) * 50 * MS,
+                  (1 + r.nextInt(2500)) * MILLISECOND,
+                  r.nextInt(2) * 50 * MILLISECOND,
                   r.nextInt(12),
                   1,
                   300,
@@ -76,17 +76,17 @@
                   0,
                   r.nextBoolean(),
                   false,
-                  r.nextInt(800) * MS);
-          seen.deadline = b.now + seen.call.budget();
+                  r.nextInt(800) * MILLISECOND);
+          seen.deadline = fixture.now + seen.call.budget();
           calls.put(id, seen);
-          took.add(b.now);
-          b.event(seen.call);
+          took.add(fixture.now);
+          fixture.event(seen.call);
         }
         default -> outcome(r, s);
       }
       check(s);
     }
-    b.now += 10_000 * MS;
+    fixture.now += 10_000 * MILLISECOND;
     deadlines();
     check(s);
     calls.values().forEach(c -> assertTrue(c.over, "call " + c.call.id() + " was lost"));
@@ -94,8 +94,8 @@
 
   private void deadlines() {
     for (Seen c : new ArrayList<>(calls.values())) {
-      if (!c.over && c.deadline <= b.now) {
-        b.event(new TimerFired(c.call.id()));
+      if (!c.over && c.deadline <= fixture.now) {
+        fixture.event(new TimerFired(c.call.id()));
         check(DispatcherFixture.settings(true, DedupScope.CELL));
         assertTrue(c.over, "call " + c.call.id() + " has no answer at its deadline");
       }
@@ -108,12 +108,14 @@
       if (r.nextInt(3) == 0) {
         WorkerState state = WorkerState.values()[Math.min(2, r.nextInt(6))];
         lines.add(
-            DispatcherFixture.member(
-                w, r.nextInt(2) == 0 ? WorkerState.READY : state, r.nextInt(4) == 0 ? b.now : 0));
+            DispatcherFixture.entry(
+                w,
+                r.nextInt(2) == 0 ? WorkerState.READY : state,
+                r.nextInt(4) == 0 ? fixture.now : 0));
       }
     }
     lines.forEach(m -> list.put(m.worker(), m));
-    b.event(new WorkerListUpdate(ListKind.DELTA, lines));
+    fixture.event(new WorkerListUpdate(ListKind.DELTA, lines));
   }
 
   private void outcome(Random r, Settings s) {
@@ -128,17 +130,17 @@
     if (!code.notRun && !c.mayHaveRun) {
       c.mayHaveRun = true;
       c.ranCell = list.get(send.worker()).cell();
-      c.ranSince = b.now - 5 * MS;
+      c.ranSince = fixture.now - 5 * MILLISECOND;
     }
     boolean closed = c.over || code == OutcomeCode.OK;
     c.over = closed;
-    b.event(
+    fixture.event(
         new AttemptOutcome(
             send.call(),
             c.sent - 1,
             send.worker(),
             code,
-            900 * MS,
+            900 * MILLISECOND,
             closed,
             CopyStatus.values()[r.nextInt(5)],
             r.nextInt(5) - 1,
@@ -146,8 +148,8 @@
   }
 
   private void check(Settings s) {
-    for (; checked < b.actions.size(); checked++) {
-      Action action = b.actions.get(checked);
+    for (; checked < fixture.actions.size(); checked++) {
+      Action action = fixture.actions.get(checked);
       trace.append(action).append('\n');
       if (action instanceof Send a) {
         checkSend(a, s);
@@ -161,8 +163,8 @@
         answered(a.call());
       } else if (action instanceof Preload a) {
         assertEquals(WorkerState.READY, list.get(a.worker()).state(), "rule 3, order");
-        orders.add(b.now);
-        long since = b.now - s.loadPolicy().preloadWindow();
+        orders.add(fixture.now);
+        long since = fixture.now - s.loadPolicy().preloadWindow();
         // Orders arrive up to a connect later, and then count together with those given in the
         // meantime.
         long waited = since - s.limits().connectTimeout();
--- a/src/test/java/saddlestall/SizeTest.java
+++ b/src/test/java/saddlestall/SizeTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saddlestall.DispatcherFixture.MS;
-import static saddlestall.DispatcherFixture.SAFE;
+import static saddlestall.DispatcherFixture.IDEMPOTENT_CLASS;
+import static saddlestall.DispatcherFixture.MILLISECOND;
 import static saddlestall.DispatcherFixture.SECOND;
 
 import java.util.ArrayList;
@@ -51,15 +51,15 @@
   /** Three calls a second at each; every answer comes 100 ms later, from a warm copy. */
   private static void second(List<DispatcherFixture> fronts, int from, int functions) {
     for (int i = 0; i < fronts.size(); i++) {
-      DispatcherFixture b = fronts.get(i);
+      DispatcherFixture fixture = fronts.get(i);
       for (int k = 0; k < 3; k++) {
         int id = from + k;
-        b.call(id, SAFE, (i * 7 + id * 13) % functions);
-        b.pass(100);
-        if (!b.sends(id).isEmpty()) {
-          b.outcome(b.sends(id).get(0), 0, OutcomeCode.OK, 100);
+        fixture.call(id, IDEMPOTENT_CLASS, (i * 7 + id * 13) % functions);
+        fixture.pass(100);
+        if (!fixture.sends(id).isEmpty()) {
+          fixture.outcome(fixture.sends(id).get(0), 0, OutcomeCode.OK, 100);
         }
-        b.pass(k == 2 ? 200 : 250);
+        fixture.pass(k == 2 ? 200 : 250);
       }
     }
   }
@@ -71,9 +71,9 @@
       second(fronts, 3 * t, 60);
     }
     Set<Integer> homes = new HashSet<>();
-    for (DispatcherFixture b : fronts) {
-      b.call(900, SAFE, 12345);
-      homes.add(b.sends(900).get(0).worker());
+    for (DispatcherFixture fixture : fronts) {
+      fixture.call(900, IDEMPOTENT_CLASS, 12345);
+      homes.add(fixture.sends(900).get(0).worker());
     }
     assertTrue(
         homes.size() <= 5, "workers that one call of each front end went to: " + homes.size());
@@ -85,17 +85,20 @@
     for (int t = 0; t < 6; t++) {
       second(fronts, 3 * t, 240);
     }
-    for (DispatcherFixture b : fronts) {
-      b.event(
+    for (DispatcherFixture fixture : fronts) {
+      fixture.event(
           new WorkerListUpdate(
-              ListKind.DELTA, List.of(DispatcherFixture.member(99, WorkerState.READY, b.now))));
+              ListKind.DELTA,
+              List.of(DispatcherFixture.entry(99, WorkerState.READY, fixture.now))));
     }
     int sent = 0;
     for (int t = 6; t < 14; t++) {
       second(fronts, 3 * t, 240);
       int sum =
           fronts.stream()
-              .mapToInt(b -> (int) b.all(Send.class).stream().filter(s -> s.worker() == 99).count())
+              .mapToInt(
+                  fixture ->
+                      (int) fixture.all(Send.class).stream().filter(s -> s.worker() == 99).count())
               .sum();
       // A warm worker bears 9 calls a second; the cold one may get 3 times its present share of
       // that.
@@ -109,13 +112,14 @@
   @ParameterizedTest
   @CsvSource({"1, 1", "1, 50", "5000, 1", "5000, 2000"})
   void anySizeIsServed(int siblings, int workers) {
-    DispatcherFixture b = new DispatcherFixture(settings(siblings), 1).list(workers);
+    DispatcherFixture fixture = new DispatcherFixture(settings(siblings), 1).list(workers);
     for (int id = 1; id <= 20; id++) {
-      b.call(id, SAFE, id % 3).pass(50);
-      assertEquals(1, b.sends(id).size());
-      b.outcome(b.lastSend(), 0, OutcomeCode.OK, 50);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 3).pass(50);
+      assertEquals(1, fixture.sends(id).size());
+      fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 50);
     }
-    assertTrue(b.all(Send.class).stream().allMatch(s -> s.worker() >= 1 && s.worker() <= workers));
+    assertTrue(
+        fixture.all(Send.class).stream().allMatch(s -> s.worker() >= 1 && s.worker() <= workers));
   }
 
   @Test
@@ -138,17 +142,17 @@
             s.loadPolicy(),
             s.loadReportFormat(),
             s.costs());
-    DispatcherFixture b = new DispatcherFixture(rated, 4);
-    List<WorkerEntry> members = new ArrayList<>();
+    DispatcherFixture fixture = new DispatcherFixture(rated, 4);
+    List<WorkerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= 10; id++) {
-      members.add(new WorkerEntry(id, 0, 0, 0, WorkerState.READY, id <= 5 ? 3 : 1, 0));
+      entries.add(new WorkerEntry(id, 0, 0, 0, WorkerState.READY, id <= 5 ? 3 : 1, 0));
     }
-    b.event(new WorkerListUpdate(ListKind.FULL, members));
+    fixture.event(new WorkerListUpdate(ListKind.FULL, entries));
     int large = 0;
     for (int id = 1; id <= 400; id++) {
-      b.at(SECOND / MS / 4).event(new TimerFired(-1)).call(id, SAFE, id);
-      large += b.sends(id).get(0).worker() <= 5 ? 1 : 0;
-      b.outcome(b.sends(id).get(0), 0, OutcomeCode.OK, 20);
+      fixture.at(SECOND / MILLISECOND / 4).event(new TimerFired(-1)).call(id, IDEMPOTENT_CLASS, id);
+      large += fixture.sends(id).get(0).worker() <= 5 ? 1 : 0;
+      fixture.outcome(fixture.sends(id).get(0), 0, OutcomeCode.OK, 20);
     }
     assertTrue(large > 260 && large < 350, "of 400 calls the larger half got " + large);
   }
@@ -159,29 +163,56 @@
    */
   @Test
   void aCallWithLittleTimeGoesOnlyWhereACopyWasSeen() {
-    DispatcherFixture b = new DispatcherFixture(settings(FRONTS), 2).list(WORKERS);
+    DispatcherFixture fixture = new DispatcherFixture(settings(FRONTS), 2).list(WORKERS);
     for (int id = 1; id <= 30; id++) {
-      b.at(100)
+      fixture
+          .at(100)
           .event(new TimerFired(-1))
-          .call(id, SAFE, 7)
-          .outcome(b.lastSend(), 0, OutcomeCode.OK, 40);
+          .call(id, IDEMPOTENT_CLASS, 7)
+          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 40);
     }
     Set<Integer> seen = new HashSet<>();
-    b.all(Send.class).forEach(s -> seen.add(s.worker()));
+    fixture.all(Send.class).forEach(s -> seen.add(s.worker()));
     for (int id = 31; id <= 60; id++) {
-      b.event(new CallArrival(id, 200 * MS, 0, 7, 2, 300, SAFE, 0, false, false, 500 * MS));
-      assertTrue(b.sends(id).isEmpty() || seen.contains(b.sends(id).get(0).worker()));
-      b.sends(id).forEach(s -> b.outcome(s, 0, OutcomeCode.OK, 40));
-      b.event(new CallArrival(1000 + id, 200 * MS, 0, id, 2, 300, SAFE, 0, false, false, 500 * MS));
-      assertTrue(b.sends(1000 + id).isEmpty());
-      b.event(new ClientDisconnected(1000 + id));
+      fixture.event(
+          new CallArrival(
+              id,
+              200 * MILLISECOND,
+              0,
+              7,
+              2,
+              300,
+              IDEMPOTENT_CLASS,
+              0,
+              false,
+              false,
+              500 * MILLISECOND));
+      assertTrue(fixture.sends(id).isEmpty() || seen.contains(fixture.sends(id).get(0).worker()));
+      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 40));
+      fixture.event(
+          new CallArrival(
+              1000 + id,
+              200 * MILLISECOND,
+              0,
+              id,
+              2,
+              300,
+              IDEMPOTENT_CLASS,
+              0,
+              false,
+              false,
+              500 * MILLISECOND));
+      assertTrue(fixture.sends(1000 + id).isEmpty());
+      fixture.event(new ClientDisconnected(1000 + id));
     }
   }
 
   /** Sends to workers 100 and up, by worker, since the counts in {@code before}. */
   private static int toNew(List<DispatcherFixture> fronts) {
     return fronts.stream()
-        .mapToInt(b -> (int) b.all(Send.class).stream().filter(s -> s.worker() >= 100).count())
+        .mapToInt(
+            fixture ->
+                (int) fixture.all(Send.class).stream().filter(s -> s.worker() >= 100).count())
         .sum();
   }
 
@@ -196,13 +227,13 @@
     for (int t = 0; t < 6; t++) {
       second(fronts, 3 * t, 240);
     }
-    for (DispatcherFixture b : fronts) {
+    for (DispatcherFixture fixture : fronts) {
       List<WorkerEntry> news = new ArrayList<>();
       for (int id = 1; id <= replaced; id++) {
-        news.add(DispatcherFixture.member(id, WorkerState.DRAINING, 0));
-        news.add(DispatcherFixture.member(100 + id, WorkerState.READY, b.now));
+        news.add(DispatcherFixture.entry(id, WorkerState.DRAINING, 0));
+        news.add(DispatcherFixture.entry(100 + id, WorkerState.READY, fixture.now));
       }
-      b.event(new WorkerListUpdate(ListKind.DELTA, news));
+      fixture.event(new WorkerListUpdate(ListKind.DELTA, news));
     }
     StringBuilder seen = new StringBuilder();
     boolean kept = true;
@@ -231,21 +262,22 @@
     for (int t = 0; t < 6; t++) {
       second(fronts, 3 * t, 240);
     }
-    for (DispatcherFixture b : fronts) {
-      b.event(
+    for (DispatcherFixture fixture : fronts) {
+      fixture.event(
           new WorkerListUpdate(
-              ListKind.DELTA, List.of(DispatcherFixture.member(100, WorkerState.READY, b.now))));
+              ListKind.DELTA,
+              List.of(DispatcherFixture.entry(100, WorkerState.READY, fixture.now))));
     }
     for (int t = 6; t < 10; t++) {
       second(fronts, 3 * t, 240);
     }
     int before = toNew(fronts);
-    for (DispatcherFixture b : fronts) {
+    for (DispatcherFixture fixture : fronts) {
       List<WorkerEntry> gone = new ArrayList<>();
       for (int id = 1; id <= WORKERS; id++) {
-        gone.add(DispatcherFixture.member(id, WorkerState.DRAINING, 0));
+        gone.add(DispatcherFixture.entry(id, WorkerState.DRAINING, 0));
       }
-      b.event(new WorkerListUpdate(ListKind.DELTA, gone));
+      fixture.event(new WorkerListUpdate(ListKind.DELTA, gone));
     }
     second(fronts, 30, 240);
     second(fronts, 33, 240);
@@ -263,12 +295,12 @@
   void aStartAmongColdWorkersServesWithinWhatTheyBear() {
     List<DispatcherFixture> fronts = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
-      DispatcherFixture b = new DispatcherFixture(settings(FRONTS), i);
+      DispatcherFixture fixture = new DispatcherFixture(settings(FRONTS), i);
       List<WorkerEntry> cold = new ArrayList<>();
       for (int id = 101; id <= 100 + WORKERS; id++) {
-        cold.add(DispatcherFixture.member(id, WorkerState.READY, b.now - 5 * SECOND));
+        cold.add(DispatcherFixture.entry(id, WorkerState.READY, fixture.now - 5 * SECOND));
       }
-      fronts.add(b.event(new WorkerListUpdate(ListKind.FULL, cold)));
+      fronts.add(fixture.event(new WorkerListUpdate(ListKind.FULL, cold)));
     }
     for (int t = 0; t < 2; t++) {
       second(fronts, 3 * t, 240);
