--- a/src/main/java/saddlestall/AdaptiveDispatcher.java
+++ b/src/main/java/saddlestall/AdaptiveDispatcher.java
@@ -184,8 +184,7 @@
 
   private static final long MAX_TRIAL_BACKOFF_MICROS = 8 * SECOND;
 
-  // ---------------------------------------------------------------- retries, cold workers,
-  // shedding
+  // ---------------------------------------------------------------- retries and admission
 
   /** Retries and hedges earned by each accepted call. */
   private static final double RETRIES_PER_CALL = 0.2;
--- a/src/test/java/saddlestall/AdaptiveDispatcherTest.java
+++ b/src/test/java/saddlestall/AdaptiveDispatcherTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import saddlestall.Dispatcher.*;
 
-/** Rule by rule, and failure by failure. */
+/**
+ * Tests of the rules, the sampling, the learning, the health checks and the admission of one front
+ * end.
+ */
 class AdaptiveDispatcherTest {
   private static DispatcherFixture fixture() {
     return new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 7);
@@ -37,9 +40,9 @@
       value = OutcomeCode.class,
       names = {"OK", "CANCELLED", "MOOT"},
       mode = EnumSource.Mode.EXCLUDE)
-  void unsafeCallsGoOnOnlyWhenNothingRan(OutcomeCode code) {
-    DispatcherFixture fixture = fixture().list(4).call(1, NOT_IDEMPOTENT_CLASS, 9);
-    fixture.at(20).outcome(fixture.lastSend(), 0, code, 20);
+  void nonIdempotentCallsAreRetriedOnlyIfNothingRan(OutcomeCode code) {
+    DispatcherFixture fixture = fixture().listWorkers(4).call(1, NOT_IDEMPOTENT_CLASS, 9);
+    fixture.advance(20).outcome(fixture.lastSend(), 0, code, 20);
     assertEquals(code.notRun ? 2 : 1, fixture.sends(1).size());
     assertEquals(!code.notRun, fixture.failed(1));
     assertFalse(fixture.refused(1));
@@ -49,41 +52,41 @@
   @EnumSource(
       value = OutcomeCode.class,
       names = {"ERROR", "FULL", "CONNECT_FAILED", "RESET", "MISS"})
-  void safeCallsGoOnElsewhere(OutcomeCode code) {
-    DispatcherFixture fixture = fixture().list(4).call(1, IDEMPOTENT_CLASS, 9);
+  void idempotentCallsAreRetriedAtAnotherWorker(OutcomeCode code) {
+    DispatcherFixture fixture = fixture().listWorkers(4).call(1, IDEMPOTENT_CLASS, 9);
     Send first = fixture.lastSend();
-    fixture.at(20).outcome(first, 0, code, 20);
+    fixture.advance(20).outcome(first, 0, code, 20);
     assertEquals(2, fixture.sends(1).size());
     assertFalse(first.worker() == fixture.lastSend().worker());
   }
 
   @Test
-  void keyedCallsStayInTheirCellAndTime() {
+  void deduplicatedCallsStayInTheirCellAndWindow() {
     for (long seed = 0; seed < 20; seed++) {
       DispatcherFixture fixture =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.CELL), seed)
-              .list(6)
+              .listWorkers(6)
               .call(1, DEDUPLICATED_CLASS, 9);
       Send first = fixture.lastSend();
-      fixture.at(20).outcome(first, 0, OutcomeCode.ERROR, 20);
+      fixture.advance(20).outcome(first, 0, OutcomeCode.ERROR, 20);
       assertEquals(2, fixture.sends(1).size());
       assertEquals(first.worker() % 2, fixture.lastSend().worker() % 2);
-      fixture.at(1100).outcome(fixture.lastSend(), 1, OutcomeCode.ERROR, 1100);
-      fixture.pass(1400).event(new TimerFired(1));
+      fixture.advance(1100).outcome(fixture.lastSend(), 1, OutcomeCode.ERROR, 1100);
+      fixture.advanceInTicks(1400).event(new TimerFired(1));
       assertEquals(2, fixture.sends(1).size());
       assertTrue(fixture.failed(1));
     }
   }
 
   @Test
-  void theDeadlineGetsItsAnswer() {
+  void aCallGetsItsFinalAnswerAtItsDeadline() {
     DispatcherFixture fixture =
-        fixture().list(4).call(1, NOT_IDEMPOTENT_CLASS, 9).call(2, IDEMPOTENT_CLASS, 9);
-    fixture.at(2500).event(new TimerFired(1)).event(new TimerFired(2));
+        fixture().listWorkers(4).call(1, NOT_IDEMPOTENT_CLASS, 9).call(2, IDEMPOTENT_CLASS, 9);
+    fixture.advance(2500).event(new TimerFired(1)).event(new TimerFired(2));
     assertTrue(fixture.failed(1));
     assertTrue(fixture.refused(2));
     int before = fixture.actions.size();
-    fixture.at(1).outcome(fixture.sends(1).get(0), 0, OutcomeCode.TIMEOUT, 2501);
+    fixture.advance(1).outcome(fixture.sends(1).get(0), 0, OutcomeCode.TIMEOUT, 2501);
     assertEquals(before, fixture.actions.size());
   }
 
@@ -91,17 +94,18 @@
   void withNothingPermittedACallIsHeldThenRefused() {
     DispatcherFixture fixture = fixture().call(1, NOT_IDEMPOTENT_CLASS, 9);
     assertTrue(fixture.sends(1).isEmpty());
-    fixture.at(100).list(2);
+    fixture.advance(100).listWorkers(2);
     assertEquals(1, fixture.sends(1).size());
-    DispatcherFixture none = fixture().call(1, NOT_IDEMPOTENT_CLASS, 9).pass(2500);
-    assertTrue(none.event(new TimerFired(1)).refused(1));
+    DispatcherFixture withoutWorkers =
+        fixture().call(1, NOT_IDEMPOTENT_CLASS, 9).advanceInTicks(2500);
+    assertTrue(withoutWorkers.event(new TimerFired(1)).refused(1));
   }
 
   @Test
   void attemptsAreLimited() {
-    DispatcherFixture fixture = fixture().list(8).call(1, IDEMPOTENT_CLASS, 9);
+    DispatcherFixture fixture = fixture().listWorkers(8).call(1, IDEMPOTENT_CLASS, 9);
     for (int i = 0; i < 4; i++) {
-      fixture.at(5).outcome(fixture.lastSend(), i, OutcomeCode.CONNECT_FAILED, 5);
+      fixture.advance(5).outcome(fixture.lastSend(), i, OutcomeCode.CONNECT_FAILED, 5);
     }
     assertEquals(4, fixture.sends(1).size());
     assertTrue(fixture.refused(1));
@@ -109,7 +113,7 @@
 
   @Test
   void strayEventsAreIgnored() {
-    DispatcherFixture fixture = fixture().list(2);
+    DispatcherFixture fixture = fixture().listWorkers(2);
     int before = fixture.actions.size();
     fixture
         .event(new AttemptOutcome(5, 0, 1, OutcomeCode.OK, 5, true, CopyStatus.NONE, -1, null))
@@ -126,7 +130,7 @@
 
   @Test
   void drainingAndGoneWorkersGetNothing() {
-    DispatcherFixture fixture = fixture().list(3);
+    DispatcherFixture fixture = fixture().listWorkers(3);
     fixture.event(
         new WorkerListUpdate(
             ListKind.DELTA, List.of(DispatcherFixture.entry(1, WorkerState.DRAINING, 0))));
@@ -145,64 +149,63 @@
 
   @Test
   void aColdWorkerGetsItsShareOnly() {
-    DispatcherFixture fixture = fixture().list(3);
+    DispatcherFixture fixture = fixture().listWorkers(3);
     fixture.event(
         new WorkerListUpdate(
             ListKind.DELTA, List.of(DispatcherFixture.entry(9, WorkerState.READY, fixture.now))));
     int id = 0;
-    for (int round = 0; round < 40; round++) { // two seconds, forty calls a second
+    // Two seconds with forty calls per second.
+    for (int round = 0; round < 40; round++) {
       for (int k = 0; k < 2; k++) {
         fixture.call(++id, IDEMPOTENT_CLASS, id % 20);
         if (!fixture.sends(id).isEmpty()) {
           fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 1);
         }
       }
-      fixture.pass(50);
+      fixture.advanceInTicks(50);
     }
     long cold = fixture.all(Send.class).stream().filter(s -> s.worker() == 9).count();
-    // Warm workers bear about 27 in two seconds; a cold one may get 3 x 15% of what they do.
+    // A warm worker handles about 27 calls in two seconds; a cold one may get 3 x 15% of that.
     assertTrue(cold <= 12, "sent " + cold);
   }
 
   @Test
-  void ordersToLoadKeepTheirRation() {
+  void preloadsStayWithinTheirLimit() {
     DispatcherFixture fixture =
-        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 3).list(12);
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 3).listWorkers(12);
     for (int id = 1; id <= 300; id++) {
-      fixture
-          .at(10)
-          .event(new TimerFired(-1))
-          .call(id, IDEMPOTENT_CLASS, id % 2); // much demand for two functions: many homes
+      // High demand for two functions, so that each has many homes.
+      fixture.advance(10).event(new TimerFired(-1)).call(id, IDEMPOTENT_CLASS, id % 2);
       if (!fixture.sends(id).isEmpty()) {
         fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 400);
       }
     }
-    int orders = fixture.all(Preload.class).size();
-    assertTrue(orders > 2, "orders " + orders);
-    assertTrue(orders <= 2 + 0.15 * 300, "orders " + orders);
+    int preloads = fixture.all(Preload.class).size();
+    assertTrue(preloads > 2, "preloads " + preloads);
+    assertTrue(preloads <= 2 + 0.15 * 300, "preloads " + preloads);
   }
 
-  // ---------------------------------------------------------------- the draw
+  // ---------------------------------------------------------------- sampling
 
   @Test
-  void aWarmFreeWorkerWinsNearlyEveryDraw() {
-    DispatcherFixture fixture = fixture().list(6).call(1, IDEMPOTENT_CLASS, 9);
+  void aWarmFreeWorkerIsSampledNearlyAlways() {
+    DispatcherFixture fixture = fixture().listWorkers(6).call(1, IDEMPOTENT_CLASS, 9);
     int warm = fixture.lastSend().worker();
-    fixture.at(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
+    fixture.advance(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
     int same = 0;
     for (int id = 2; id < 102; id++) {
-      fixture.at(40).call(id, IDEMPOTENT_CLASS, 9);
+      fixture.advance(40).call(id, IDEMPOTENT_CLASS, 9);
       same += fixture.lastSend().worker() == warm ? 1 : 0;
-      fixture.at(40).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 40);
+      fixture.advance(40).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 40);
     }
     assertTrue(same >= 90, "warm " + same);
   }
 
   @Test
-  void aWorkerWithManyOwnCallsLosesItsDraws() {
-    DispatcherFixture fixture = fixture().list(6).call(1, IDEMPOTENT_CLASS, 9);
+  void aWorkerWithManyOwnCallsIsSampledLess() {
+    DispatcherFixture fixture = fixture().listWorkers(6).call(1, IDEMPOTENT_CLASS, 9);
     int warm = fixture.lastSend().worker();
-    fixture.at(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
+    fixture.advance(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
     for (int id = 2; id < 14; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, 9);
     }
@@ -211,19 +214,18 @@
   }
 
   /**
-   * With calls of our own at the worker of the only copy that was seen, the next ones rather load
-   * elsewhere.
+   * With own calls at the only worker that has a known copy, further calls start loads elsewhere.
    */
   @Test
-  void ownCallsWeighAgainstAWarmCopy() {
+  void ownCallsOutweighAWarmCopy() {
     int others = 0;
     for (int seed = 1; seed <= 40; seed++) {
       DispatcherFixture fixture =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
-              .list(6)
+              .listWorkers(6)
               .call(1, IDEMPOTENT_CLASS, 9);
       int warm = fixture.lastSend().worker();
-      fixture.at(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
+      fixture.advance(500).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 500);
       for (int id = 2; id < 14; id++) {
         fixture.call(id, IDEMPOTENT_CLASS, 9);
       }
@@ -232,41 +234,47 @@
     assertTrue(others >= 270, "others " + others);
   }
 
-  /** A worker that the plan gives more than its peers is left to the functions it is home to. */
+  /**
+   * A worker with more planned load than the others is left to the functions that have it as a
+   * home.
+   */
   @Test
-  void thePlanKeepsAFunctionAtItsHome() {
+  void plannedLoadKeepsAFunctionAtItsHome() {
     int most = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      DispatcherFixture fixture = oneBusyFunction(2, seed);
-      int[] at = new int[7];
+      DispatcherFixture fixture = runOneBusyFunction(2, seed);
+      int[] sendsByWorker = new int[7];
       fixture.all(Send.class).stream()
           .filter(s -> s.call() > 150 && s.call() % 6 == 0)
-          .forEach(s -> at[s.worker()]++);
-      most += Arrays.stream(at).max().orElse(0);
+          .forEach(s -> sendsByWorker[s.worker()]++);
+      most += Arrays.stream(sendsByWorker).max().orElse(0);
     }
     assertTrue(most >= 202, "at the most used worker " + most);
   }
 
   /**
-   * A function that asks for more than half of what a worker has to do gets a further home, loaded
-   * beforehand.
+   * A function with more than half of the load of a worker gets another home, which is preloaded.
    */
   @Test
   void aBusyFunctionHasAFurtherHome() {
-    int ordered = 0;
+    int withPreload = 0;
     for (int seed = 1; seed <= 20; seed++) {
-      ordered +=
-          oneBusyFunction(32, seed).all(Preload.class).stream().anyMatch(h -> h.function() == 1)
+      withPreload +=
+          runOneBusyFunction(32, seed).all(Preload.class).stream().anyMatch(h -> h.function() == 1)
               ? 1
               : 0;
     }
-    assertTrue(ordered >= 5, "ordered by " + ordered);
+    assertTrue(withPreload >= 5, "preloaded by " + withPreload);
   }
 
-  /** Fifteen seconds of calls, one in six of them for function 1; copies have so many lanes. */
-  private static DispatcherFixture oneBusyFunction(int lanes, int seed) {
+  /**
+   * Runs fifteen seconds of calls, of which one in six is for function 1, with the given lanes per
+   * copy.
+   */
+  private static DispatcherFixture runOneBusyFunction(int lanes, int seed) {
     DispatcherFixture fixture =
-        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), seed).list(6);
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), seed)
+            .listWorkers(6);
     for (int id = 1; id <= 300; id++) {
       fixture.event(
           new CallArrival(
@@ -281,17 +289,17 @@
               false,
               false,
               500 * MILLISECOND));
-      fixture.pass(50);
+      fixture.advanceInTicks(50);
       fixture.sends(id).forEach(send -> fixture.outcome(send, 0, OutcomeCode.OK, 150));
     }
     return fixture;
   }
 
   @Test
-  void aLoadThatOutlastsTheCallIsPassedOver() {
+  void aLoadThatOutlastsTheCallIsNotStarted() {
     DispatcherFixture fixture =
         fixture()
-            .list(4)
+            .listWorkers(4)
             .event(
                 new CallArrival(
                     1,
@@ -306,65 +314,65 @@
                     false,
                     900 * MILLISECOND));
     assertTrue(fixture.sends(1).isEmpty());
-    fixture.at(400).event(new TimerFired(1));
+    fixture.advance(400).event(new TimerFired(1));
     assertTrue(fixture.refused(1));
   }
 
   @Test
-  void frontEndsAgreeOnHomesUnasked() {
+  void frontEndsAgreeOnHomesWithoutCoordination() {
     for (long function = 1; function < 30; function++) {
       int first =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 1)
-              .list(8)
+              .listWorkers(8)
               .call(1, IDEMPOTENT_CLASS, function)
               .lastSend()
               .worker();
-      int votes = 0;
+      int agreeing = 0;
       for (long seed = 2; seed < 12; seed++) {
         DispatcherFixture fixture =
             new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
-                .list(8)
+                .listWorkers(8)
                 .call(1, IDEMPOTENT_CLASS, function);
-        votes += fixture.lastSend().worker() == first ? 1 : 0;
+        agreeing += fixture.lastSend().worker() == first ? 1 : 0;
       }
-      assertTrue(votes >= 5, "function " + function + ": " + votes);
+      assertTrue(agreeing >= 5, "function " + function + ": " + agreeing);
     }
   }
 
   // ---------------------------------------------------------------- learning
 
   /**
-   * A constructed payoff: calls cost most of their time wherever own calls are few, so that weight
-   * must rise.
+   * The weight of the own-hall feature follows a constructed reward: answers are fast only in that
+   * hall in one run, and only outside of it in the other.
    */
   @Test
-  void weightsFollowAConstructedPayoff() {
-    DispatcherFixture paid = learn(true);
-    DispatcherFixture unpaid = learn(false);
-    double gain =
-        paid.dispatcher.weights[7]
-            - unpaid.dispatcher.weights[7]; // the own hall, paid in one of the two
+  void weightsFollowAConstructedReward() {
+    DispatcherFixture ownHallFast = runWithReward(true);
+    DispatcherFixture otherHallsFast = runWithReward(false);
+    // Weight 7 is that of the own-hall feature.
+    double gain = ownHallFast.dispatcher.weights[7] - otherHallsFast.dispatcher.weights[7];
     assertTrue(gain > 0, "gain " + gain);
   }
 
-  private static DispatcherFixture learn(boolean homeHallPays) {
-    DispatcherFixture fixture = fixture().list(9);
+  private static DispatcherFixture runWithReward(boolean ownHallIsFast) {
+    DispatcherFixture fixture = fixture().listWorkers(9);
     for (int id = 1; id < 1500; id++) {
-      fixture.at(30).call(id, IDEMPOTENT_CLASS, id % 40);
-      boolean own = fixture.lastSend().worker() % 3 == 0;
+      fixture.advance(30).call(id, IDEMPOTENT_CLASS, id % 40);
+      boolean inOwnHall = fixture.lastSend().worker() % 3 == 0;
       fixture
-          .at(30)
-          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, own == homeHallPays ? 20 : 1200);
+          .advance(30)
+          .outcome(fixture.lastSend(), 0, OutcomeCode.OK, inOwnHall == ownHallIsFast ? 20 : 1200);
     }
     return fixture;
   }
 
   @Test
   void weightsStayBoundedUnderNoise() {
-    DispatcherFixture fixture = fixture().list(9);
+    DispatcherFixture fixture = fixture().listWorkers(9);
     java.util.Random noise = new java.util.Random(1);
     for (int id = 1; id < 6000; id++) {
-      fixture.at(20).call(id, IDEMPOTENT_CLASS, id); // a scan: no function comes twice
+      // A scan: no function is called twice.
+      fixture.advance(20).call(id, IDEMPOTENT_CLASS, id);
       if (!fixture.sends(id).isEmpty()) {
         fixture.outcome(
             fixture.lastSend(),
@@ -379,52 +387,53 @@
             .dispatcher
             .weights;
     for (int k = 0; k < start.length; k++) {
-      double most = 0.5 * Math.abs(start[k]) + 0.5;
-      assertTrue(Math.abs(fixture.dispatcher.weights[k] - start[k]) <= most + 1e-9, "weight " + k);
+      double maxDrift = 0.5 * Math.abs(start[k]) + 0.5;
+      assertTrue(
+          Math.abs(fixture.dispatcher.weights[k] - start[k]) <= maxDrift + 1e-9, "weight " + k);
     }
   }
 
-  // ---------------------------------------------------------------- failures found
+  // ---------------------------------------------------------------- regressions
 
-  /** Incident ib7a926: a full worker answers at once and so drew ever more calls. */
+  /** A full worker answers at once, holds few own calls and so attracted more and more calls. */
   @Test
-  void aFullWorkerIsPassedOverForAWhile() {
-    DispatcherFixture fixture = fixture().list(2).call(1, IDEMPOTENT_CLASS, 9);
+  void aFullWorkerIsSkippedForAWhile() {
+    DispatcherFixture fixture = fixture().listWorkers(2).call(1, IDEMPOTENT_CLASS, 9);
     int full = fixture.lastSend().worker();
     fixture.outcome(fixture.lastSend(), 0, OutcomeCode.FULL, 1);
     for (int id = 2; id < 12; id++) {
-      fixture.at(1).call(id, IDEMPOTENT_CLASS, 9);
+      fixture.advance(1).call(id, IDEMPOTENT_CLASS, 9);
       assertFalse(fixture.lastSend().worker() == full);
     }
   }
 
-  /** Throttled tenants: what is turned away for one tenant says nothing of another. */
+  /** With throttled tenants, a rejection for one tenant says nothing about another. */
   @Test
-  void aTurnAwayCountsForItsTenantAndClassAlone() {
-    Settings s = DispatcherFixture.settings(false, DedupScope.ALL);
+  void aRejectionCountsForItsTenantAndClassOnly() {
+    Settings settings = DispatcherFixture.settings(false, DedupScope.ALL);
     DispatcherFixture fixture =
         new DispatcherFixture(
             new Settings(
                 0,
                 1,
                 0,
-                s.classes(),
+                settings.classes(),
                 List.of(new Tenant(0.5, 50), new Tenant(0.5, 50)),
                 0.2,
                 false,
                 false,
                 WeightKind.SILENT,
                 List.of(),
-                s.limits(),
-                s.rules(),
-                s.loadPolicy(),
-                s.loadReportFormat(),
-                s.costs()),
+                settings.limits(),
+                settings.rules(),
+                settings.loadPolicy(),
+                settings.loadReportFormat(),
+                settings.costs()),
             7);
-    fixture.list(6).call(1, IDEMPOTENT_CLASS, 9);
+    fixture.listWorkers(6).call(1, IDEMPOTENT_CLASS, 9);
     int home = fixture.lastSend().worker();
-    fixture.at(20).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
-    fixture.at(20).call(2, IDEMPOTENT_CLASS, 9);
+    fixture.advance(20).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
+    fixture.advance(20).call(2, IDEMPOTENT_CLASS, 9);
     assertEquals(home, fixture.lastSend().worker());
     fixture.outcome(fixture.lastSend(), 0, OutcomeCode.FULL, 1);
     fixture.call(3, IDEMPOTENT_CLASS, 9);
@@ -445,61 +454,55 @@
     assertEquals(home, fixture.lastSend().worker());
   }
 
-  /**
-   * Grown deployments: the first calls of a front end that has just started are no sign of
-   * overload.
-   */
+  /** The first calls of a front end that has just started were taken for overload. */
   @Test
   void aFrontEndThatHasJustStartedRefusesNothing() {
-    DispatcherFixture fixture = fixture().list(20);
+    DispatcherFixture fixture = fixture().listWorkers(20);
     for (int id = 1; id <= 5; id++) {
       fixture
           .call(id, IDEMPOTENT_CLASS, id % 3)
-          .pass(150)
+          .advanceInTicks(150)
           .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 150)
-          .pass(150);
+          .advanceInTicks(150);
     }
     assertTrue(fixture.all(Refuse.class).isEmpty());
   }
 
-  /**
-   * Grown deployments: a front end with three calls a second sees an overload too, and recovers
-   * from it.
-   */
+  /** A front end with three calls per second also detects an overload, and recovers from it. */
   @Test
-  void aThinStreamShedsWhenAnswersAreLate() {
-    DispatcherFixture fixture = fixture().list(6);
+  void aFrontEndWithFewCallsShedsWhenAnswersAreLate() {
+    DispatcherFixture fixture = fixture().listWorkers(6);
     int id = 0;
     for (; id < 60; id++) {
-      fixture.call(id, IDEMPOTENT_CLASS, id % 5).pass(350);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5).advanceInTicks(350);
       fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 1800));
     }
     int refused = fixture.all(Refuse.class).size();
     assertTrue(refused > 5 && refused < 60, "refused " + refused);
     for (; id < 120; id++) {
-      fixture.call(id, IDEMPOTENT_CLASS, id % 5).pass(350);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5).advanceInTicks(350);
       fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
     }
     int before = fixture.all(Refuse.class).size();
     for (; id < 150; id++) {
-      fixture.call(id, IDEMPOTENT_CLASS, id % 5).pass(350);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 5).advanceInTicks(350);
       fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
     }
     assertEquals(before, fixture.all(Refuse.class).size());
   }
 
-  /** Incident if4a944: every front end began loads until the store stopped. */
+  /** All front ends kept starting loads until the store stalled. */
   @Test
   void failedLoadsShrinkTheNumberOfOwnLoads() {
-    DispatcherFixture fixture = fixture().list(8);
+    DispatcherFixture fixture = fixture().listWorkers(8);
     for (int id = 1; id <= 30; id++) {
       fixture.call(id, NOT_IDEMPOTENT_CLASS, id);
     }
     int before = fixture.all(Send.class).size();
-    assertTrue(before < 30, "loads at once " + before);
+    assertTrue(before < 30, "concurrent loads " + before);
     Send first = fixture.all(Send.class).get(0);
     fixture
-        .at(500)
+        .advance(500)
         .event(
             new AttemptOutcome(
                 first.call(),
@@ -515,20 +518,19 @@
     assertEquals(before / 2.0, fixture.dispatcher.loadLimit, 0.5);
   }
 
-  /**
-   * First incidents: one long call benched a worker; silence needs more than one answer missing.
-   */
+  /** A single long call benched a worker; silence takes more than one missing answer. */
   @Test
   void silenceBenchesAWorkerAndOneLongCallDoesNot() {
-    DispatcherFixture fixture = fixture().list(3);
-    for (int id = 1; id <= 90; id++) { // all three are heard
+    DispatcherFixture fixture = fixture().listWorkers(3);
+    // All three workers have answered.
+    for (int id = 1; id <= 90; id++) {
       fixture
-          .at(60)
+          .advance(60)
           .call(id, IDEMPOTENT_CLASS, id % 3)
-          .at(60)
+          .advance(60)
           .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 60);
     }
-    fixture.call(100, IDEMPOTENT_CLASS, 0).pass(200);
+    fixture.call(100, IDEMPOTENT_CLASS, 0).advanceInTicks(200);
     assertTrue(fixture.dispatcher.workers.values().stream().noneMatch(w -> w.benched));
     int hung = fixture.lastSend().worker();
     for (int id = 101; id < 112; id++) {
@@ -537,7 +539,7 @@
         fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 30);
       }
     }
-    fixture.pass(1800);
+    fixture.advanceInTicks(1800);
     assertTrue(fixture.dispatcher.workers.get(hung).benched);
     assertTrue(
         fixture.all(Log.class).stream()
@@ -546,9 +548,9 @@
 
   @Test
   void aCommonCauseDoesNotEmptyThePool() {
-    DispatcherFixture fixture = fixture().list(4);
+    DispatcherFixture fixture = fixture().listWorkers(4);
     for (int id = 1; id < 80; id++) {
-      fixture.at(50).call(id, NOT_IDEMPOTENT_CLASS, id % 4);
+      fixture.advance(50).call(id, NOT_IDEMPOTENT_CLASS, id % 4);
       if (!fixture.sends(id).isEmpty()) {
         fixture.outcome(fixture.lastSend(), 0, OutcomeCode.ERROR, 5);
       }
@@ -558,7 +560,7 @@
     assertEquals(1, fixture.sends(1000).size());
   }
 
-  // ---------------------------------------------------------------- settings, determinism, size
+  // ---------------------------------------------------------------- settings and observations
 
   @Test
   void settingsThatCannotBeServedAreRefusedByName() {
@@ -578,8 +580,8 @@
   }
 
   /**
-   * The modules that decide do no I/O, ask no clock, start no thread, and know nothing of the front
-   * end round them.
+   * The decision modules do no I/O, read no clock, start no thread and do not depend on the front
+   * end around them.
    */
   @ParameterizedTest
   @ValueSource(
@@ -590,52 +592,52 @@
         "umberrun/discovery/DiscoveryContact",
         "umberrun/discovery/WorkerLeases"
       })
-  void theModulesThatDecideAreFreeOfIo(String module) throws IOException {
+  void decisionModulesAreFreeOfIo(String module) throws IOException {
     List<String> lines = Files.readAllLines(Path.of("src/main/java/" + module + ".java"));
     String foreign =
-        "import (?!static"
-            + " saddlestall|saddlestall|java\\.util\\.(?!concurrent|Timer|logging)).*|.*(System\\.(?!arraycopy)|Thread|Instant\\.now).*";
+        "import (?!static saddlestall|saddlestall|java\\.util\\.(?!concurrent|Timer|logging)).*|.*(System\\.(?!arraycopy)|Thread|Instant\\.now).*";
     assertEquals(List.of(), lines.stream().filter(l -> l.matches(foreign)).toList());
-    int most = module.endsWith("AdaptiveDispatcher") ? 110 : 140;
-    assertEquals(List.of(), lines.stream().filter(l -> l.length() > most).toList());
+    int maxLength = module.endsWith("AdaptiveDispatcher") ? 110 : 140;
+    assertEquals(List.of(), lines.stream().filter(l -> l.length() > maxLength).toList());
   }
 
-  /**
-   * What another instance saw draws calls there at once; what this one sees for itself stands
-   * against it.
-   */
+  /** A peer's observation attracts calls at once, and an own observation overrides it. */
   @Test
-  void hearsayIsAPriorBelief() {
-    int there = 0;
+  void peerObservationsArePriors() {
+    int withObservation = 0;
     int without = 0;
     for (int seed = 1; seed <= 200; seed++) {
       DispatcherFixture fixture =
           new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
-              .list(6)
+              .listWorkers(6)
               .call(1, IDEMPOTENT_CLASS, 7);
       without += fixture.sends(1).get(0).worker() == 4 ? 1 : 0;
       fixture =
-          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed).list(6);
+          new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), seed)
+              .listWorkers(6);
       fixture
           .event(new CopyObservation(4, 7, 1_000 * MILLISECOND, 0.9))
           .call(1, IDEMPOTENT_CLASS, 7);
-      there += fixture.sends(1).get(0).worker() == 4 ? 1 : 0;
-      List<Observation> own = new ArrayList<>();
-      fixture.exportObservations(own::add);
+      withObservation += fixture.sends(1).get(0).worker() == 4 ? 1 : 0;
+      List<Observation> exported = new ArrayList<>();
+      fixture.exportObservations(exported::add);
       assertTrue(
-          own.stream().noneMatch(k -> k instanceof CopyObservation),
-          "hearsay is not passed on as seen");
+          exported.stream().noneMatch(k -> k instanceof CopyObservation),
+          "a peer's observation is not exported as an own one");
       fixture.outcome(fixture.sends(1).get(0), 0, OutcomeCode.OK, 100);
-      fixture.exportObservations(own::add);
-      assertTrue(own.stream().anyMatch(k -> k instanceof CopyObservation c && c.function() == 7));
+      fixture.exportObservations(exported::add);
+      assertTrue(
+          exported.stream().anyMatch(k -> k instanceof CopyObservation c && c.function() == 7));
     }
-    assertTrue(there > 3 * without, "drawn there " + there + " times, without hearsay " + without);
+    assertTrue(
+        withObservation > 3 * without,
+        "sampled there " + withObservation + " times, without the observation " + without);
   }
 
-  /** Rules 3 and 4: no word of others makes a worker one that drains, or that started since. */
+  /** Rules 3 and 4: observations of peers do not make a draining or restarted worker usable. */
   @Test
-  void hearsayRevivesNoWorker() {
-    DispatcherFixture fixture = fixture().list(3);
+  void peerObservationsMakeNoWorkerUsable() {
+    DispatcherFixture fixture = fixture().listWorkers(3);
     fixture.event(
         new WorkerListUpdate(
             ListKind.DELTA, List.of(new WorkerEntry(2, 0, 0, 0, WorkerState.DRAINING, 1, 0))));
@@ -650,15 +652,16 @@
     }
   }
 
-  /** Waits for loads are no overload: the calls that come meanwhile are not refused. */
+  /** Waits for loads were taken for overload, and the calls that arrived meanwhile were refused. */
   @Test
-  void loadsUnderWayDoNotLeadToRefusals() {
+  void loadsInProgressDoNotLeadToRefusals() {
     DispatcherFixture fixture =
-        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 5).list(6);
+        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ALL), 5).listWorkers(6);
     for (int id = 1; id <= 5; id++) {
-      fixture.call(id, IDEMPOTENT_CLASS, id); // each begins a load that lasts longer than the aim
+      // Each call starts a load that takes longer than the latency target.
+      fixture.call(id, IDEMPOTENT_CLASS, id);
     }
-    fixture.pass(1_000);
+    fixture.advanceInTicks(1_000);
     for (int id = 1; id <= 5; id++) {
       Send s = fixture.sends(id).get(0);
       fixture
@@ -673,29 +676,25 @@
                   CopyStatus.BEGAN_LOAD,
                   0,
                   null))
-          .pass(50);
+          .advanceInTicks(50);
     }
     for (int id = 6; id <= 40; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, id % 5 + 1);
       assertFalse(fixture.refused(id), "call " + id);
-      fixture
-          .sends(id)
-          .forEach(
-              s ->
-                  fixture.outcome(
-                      s, 0, OutcomeCode.OK, 150)); // the usual time, so that all are worth the same
+      // The usual latency, so that all calls have the same value.
+      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 150));
     }
   }
 
   /**
-   * Calls that are out for long, as where answers get lost, are no overload while the answers that
-   * come are quick.
+   * Attempts that stay in flight for long, as when answers get lost, are no overload while the
+   * other answers are fast.
    */
   @Test
   void callsInFlightAloneDoNotLeadToRefusals() {
-    DispatcherFixture fixture = fixture().list(6);
+    DispatcherFixture fixture = fixture().listWorkers(6);
     for (int id = 1; id <= 60; id++) {
-      fixture.call(id, IDEMPOTENT_CLASS, id % 3).pass(50);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 3).advanceInTicks(50);
       if (id % 2 == 0) {
         fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
       }
@@ -704,11 +703,11 @@
   }
 
   /**
-   * With a short aim the prior alone looked like an overload: an idle front end refused its first
-   * calls.
+   * With a short latency target the prior pressure alone was taken for overload, and an idle front
+   * end refused its first calls.
    */
   @Test
-  void anIdleFrontEndWithAShortAimRefusesNothing() {
+  void anIdleFrontEndWithAShortLatencyTargetRefusesNothing() {
     CallClass quick =
         new CallClass(
             300 * MILLISECOND,
@@ -722,8 +721,8 @@
             false);
     DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(List.of(quick), false), 3)
-            .list(6)
-            .pass(3_000);
+            .listWorkers(6)
+            .advanceInTicks(3_000);
     for (int id = 1; id <= 20; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, 1);
     }
@@ -731,34 +730,36 @@
   }
 
   /**
-   * Lost answers, slow workers: a late call gets one second copy, where a loaded one stands and its
-   * class allows.
+   * A late call gets one hedge to a worker with a loaded copy, if its class allows that. Covers
+   * lost answers and slow workers.
    */
   @ParameterizedTest
   @EnumSource(Idempotency.class)
-  void aLateCallGetsASecondCopy(Idempotency effect) {
+  void aLateCallGetsAHedge(Idempotency idempotency) {
     DispatcherFixture fixture =
-        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ZONE), 7).list(6);
+        new DispatcherFixture(DispatcherFixture.settings(false, DedupScope.ZONE), 7).listWorkers(6);
     for (int id = 1; id <= 30; id++) {
-      fixture.call(
-          id, IDEMPOTENT_CLASS, 9); // many at once, so that copies come to stand at all workers
+      // Many calls at once, so that all workers get a copy.
+      fixture.call(id, IDEMPOTENT_CLASS, 9);
     }
-    fixture.at(60);
+    fixture.advance(60);
     fixture.all(Send.class).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 60));
     fixture
-        .at(50)
+        .advance(50)
         .call(
             100,
-            effect.ordinal() == 0
+            idempotency.ordinal() == 0
                 ? IDEMPOTENT_CLASS
-                : effect == Idempotency.DEDUPLICATED ? DEDUPLICATED_CLASS : NOT_IDEMPOTENT_CLASS,
+                : idempotency == Idempotency.DEDUPLICATED
+                    ? DEDUPLICATED_CLASS
+                    : NOT_IDEMPOTENT_CLASS,
             9)
-        .pass(1_000);
+        .advanceInTicks(1_000);
     List<Send> sends = fixture.sends(100);
-    assertEquals(effect == Idempotency.NOT_IDEMPOTENT ? 1 : 2, sends.size());
-    if (effect != Idempotency.NOT_IDEMPOTENT) {
+    assertEquals(idempotency == Idempotency.NOT_IDEMPOTENT ? 1 : 2, sends.size());
+    if (idempotency != Idempotency.NOT_IDEMPOTENT) {
       assertFalse(sends.get(0).worker() == sends.get(1).worker());
-      fixture.outcome(sends.get(1), 1, OutcomeCode.OK, 60).at(50);
+      fixture.outcome(sends.get(1), 1, OutcomeCode.OK, 60).advance(50);
       int before = fixture.actions.size();
       fixture.event(
           new AttemptOutcome(
@@ -773,53 +774,49 @@
               null));
       assertEquals(before, fixture.actions.size());
     }
-    if (effect == Idempotency.DEDUPLICATED) {
+    if (idempotency == Idempotency.DEDUPLICATED) {
       assertEquals(sends.get(0).worker() % 3, sends.get(1).worker() % 3);
     }
   }
 
-  /**
-   * Bad peers: all that one lost connection takes along is one sign of its worker's health, not as
-   * many.
-   */
+  /** All attempts that fail with one lost connection count as one failure of the worker. */
   @Test
   void aLostConnectionCountsOnce() {
-    DispatcherFixture fixture = fixture().list(1);
+    DispatcherFixture fixture = fixture().listWorkers(1);
     for (int id = 1; id <= 10; id++) {
       fixture.call(id, NOT_IDEMPOTENT_CLASS, 9);
     }
-    fixture.at(20);
+    fixture.advance(20);
     List.copyOf(fixture.all(Send.class)).forEach(s -> fixture.outcome(s, 0, OutcomeCode.RESET, 20));
     assertEquals(0.2, fixture.dispatcher.workers.get(1).failureRate, 1e-9);
   }
 
-  /** Bad clients: errors for functions that no worker knows are no sign of a worker's health. */
+  /** Errors for functions that no worker knows say nothing about the health of a worker. */
   @Test
-  void nonsenseBenchesNoWorker() {
-    DispatcherFixture fixture = fixture().list(4);
+  void errorsForUnknownFunctionsBenchNoWorker() {
+    DispatcherFixture fixture = fixture().listWorkers(4);
     for (int id = 1; id <= 40; id++) {
-      fixture.call(id, NOT_IDEMPOTENT_CLASS, 1_000 + id).at(5);
+      fixture.call(id, NOT_IDEMPOTENT_CLASS, 1_000 + id).advance(5);
       fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.ERROR, 5));
     }
     assertTrue(fixture.dispatcher.workers.values().stream().allMatch(w -> w.failureRate == 0));
   }
 
-  /** A call that nothing can serve is refused while that costs little, not when its time is up. */
+  /** A call that no worker can serve is refused while its client has time left to try elsewhere. */
   @Test
   void aHeldCallIsRefusedBeforeHalfItsTimeHasPassed() {
-    DispatcherFixture fixture = fixture().call(1, IDEMPOTENT_CLASS, 9).pass(1_000);
+    DispatcherFixture fixture = fixture().call(1, IDEMPOTENT_CLASS, 9).advanceInTicks(1_000);
     assertFalse(fixture.refused(1));
-    assertTrue(fixture.pass(200).refused(1));
+    assertTrue(fixture.advanceInTicks(200).refused(1));
   }
 
   /**
-   * Hot functions whose loads outlast every call of theirs: an order loads them, and the calls are
-   * served then.
+   * A function whose load outlasts each of its calls is preloaded, and its calls are served then.
    */
   @Test
-  void aLoadThatOutlastsItsCallsIsOrdered() {
+  void aLoadThatOutlastsItsCallsIsPreloaded() {
     DispatcherFixture fixture =
-        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7).list(4);
+        new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7).listWorkers(4);
     fixture.event(
         new CallArrival(
             1,
@@ -834,7 +831,8 @@
             false,
             900 * MILLISECOND));
     assertTrue(fixture.sends(1).isEmpty());
-    assertTrue(fixture.all(Preload.class).isEmpty()); // one call alone is not worth the memory
+    // A single call does not justify the memory.
+    assertTrue(fixture.all(Preload.class).isEmpty());
     for (int id = 10; id < 20; id++) {
       fixture.event(
           new CallArrival(
@@ -850,11 +848,11 @@
               false,
               900 * MILLISECOND));
     }
-    Preload order = fixture.all(Preload.class).get(0);
-    assertEquals(9, order.function());
+    Preload preload = fixture.all(Preload.class).get(0);
+    assertEquals(9, preload.function());
     fixture
-        .at(900)
-        .event(new PreloadResult(900 * MILLISECOND, 1, order.worker(), OutcomeCode.OK, 9));
+        .advance(900)
+        .event(new PreloadResult(900 * MILLISECOND, 1, preload.worker(), OutcomeCode.OK, 9));
     fixture.event(
         new CallArrival(
             3,
@@ -868,13 +866,13 @@
             false,
             false,
             900 * MILLISECOND));
-    assertEquals(order.worker(), fixture.sends(3).get(0).worker());
+    assertEquals(preload.worker(), fixture.sends(3).get(0).worker());
   }
 
-  /** Bad clients: a function that nobody ever served is not tried at every worker there is. */
+  /** A function that was never served is not tried at every worker. */
   @Test
-  void nonsenseIsTriedTwice() {
-    DispatcherFixture fixture = fixture().list(6);
+  void aCallForAnUnknownFunctionIsTriedTwice() {
+    DispatcherFixture fixture = fixture().listWorkers(6);
     for (int id = 1; id <= 40; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, 9);
       fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
@@ -887,90 +885,87 @@
     assertTrue(fixture.refused(50));
   }
 
-  /**
-   * One front end among many has few calls out: it must not learn of each lost worker of a lost
-   * hall alone.
-   */
+  /** A front end with few calls must not detect each failed worker of a failed hall separately. */
   @Test
-  void aHallWhoseWorkersFailOneAfterTheOtherIsPassedOverWhole() {
-    DispatcherFixture fixture = fixture().list(45);
-    int lost = 0;
+  void aHallWhoseWorkersFailOneAfterTheOtherIsBenchedWhole() {
+    DispatcherFixture fixture = fixture().listWorkers(45);
+    int failedSends = 0;
     for (int id = 1; id <= 90; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, id);
       for (int i = 0; i < fixture.sends(id).size(); i++) {
         boolean fails = fixture.sends(id).get(i).worker() % 3 == 1;
-        lost += fails ? 1 : 0;
+        failedSends += fails ? 1 : 0;
         fixture.outcome(
             fixture.sends(id).get(i), i, fails ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK, 10);
       }
-      fixture.pass(50);
+      fixture.advanceInTicks(50);
     }
-    assertTrue(lost <= 12, lost + " sends to a hall of 15 workers that is lost");
+    assertTrue(failedSends <= 12, failedSends + " sends to a failed hall of 15 workers");
 
-    fixture.pass(1_000).call(100, IDEMPOTENT_CLASS, 100);
+    fixture.advanceInTicks(1_000).call(100, IDEMPOTENT_CLASS, 100);
     assertEquals(1, fixture.lastSend().worker() % 3, "a trial");
-    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 10).pass(50);
-    int back = 0;
+    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 10).advanceInTicks(50);
+    int recoveredSends = 0;
     for (int id = 101; id <= 160; id++) {
       fixture
           .call(id, IDEMPOTENT_CLASS, id)
           .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 10)
-          .pass(50);
-      back += fixture.lastSend().worker() % 3 == 1 ? 1 : 0;
+          .advanceInTicks(50);
+      recoveredSends += fixture.lastSend().worker() % 3 == 1 ? 1 : 0;
     }
-    assertTrue(back > 5, "only " + back + " sends of 60 to a hall that is back");
+    assertTrue(recoveredSends > 5, "only " + recoveredSends + " sends of 60 to a recovered hall");
   }
 
   /**
-   * An answer without a count says that no other call was there, but only where the deployment has
-   * its workers count.
+   * An answer without a concurrency means that no other call was there, but only if the workers
+   * report concurrency.
    */
   @Test
-  void anAbsentCountIsNoneOnlyWhereCountsAreTold() {
-    for (boolean told : new boolean[] {true, false}) {
-      Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
-      LoadPolicy l = s.loadPolicy();
+  void anAbsentConcurrencyIsZeroOnlyWhereItIsReported() {
+    for (boolean reported : new boolean[] {true, false}) {
+      Settings settings = DispatcherFixture.settings(true, DedupScope.ALL);
+      LoadPolicy policy = settings.loadPolicy();
       DispatcherFixture fixture =
           new DispatcherFixture(
               new Settings(
                   0,
                   2,
                   0,
-                  s.classes(),
-                  s.tenants(),
+                  settings.classes(),
+                  settings.tenants(),
                   0.2,
                   false,
                   false,
                   WeightKind.SILENT,
                   List.of(),
-                  s.limits(),
-                  s.rules(),
+                  settings.limits(),
+                  settings.rules(),
                   new LoadPolicy(
                       true,
                       true,
-                      l.preloadWindow(),
-                      l.freePreloads(),
-                      l.preloadsPerCall(),
-                      l.idleRetention(),
+                      policy.preloadWindow(),
+                      policy.freePreloads(),
+                      policy.preloadsPerCall(),
+                      policy.idleRetention(),
                       true,
-                      told,
+                      reported,
                       0),
-                  s.loadReportFormat(),
-                  s.costs()),
+                  settings.loadReportFormat(),
+                  settings.costs()),
               7);
-      fixture.list(1).call(1, IDEMPOTENT_CLASS, 9);
+      fixture.listWorkers(1).call(1, IDEMPOTENT_CLASS, 9);
       fixture.event(
           new AttemptOutcome(
               1, 0, 1, OutcomeCode.OK, 50 * MILLISECOND, false, CopyStatus.WARM, 0, null));
       assertEquals(
-          told ? fixture.now : 0,
+          reported ? fixture.now : 0,
           fixture.dispatcher.workers.get(1).copies.get(9L).concurrencyReportedAt);
     }
   }
 
   /**
-   * Where there is one hall alone, its failing workers are passed over one by one: benched whole,
-   * all would look alike.
+   * The failing workers of the only hall are benched one by one: benched as a whole, its healthy
+   * and failing workers would be treated alike.
    */
   @Test
   void theOnlyHallIsNotBenchedWhole() {
@@ -982,22 +977,23 @@
     for (int id = 1; id <= 20; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, id);
       for (int i = 0; i < fixture.sends(id).size(); i++) {
-        if (fixture.sends(id).get(i).worker() <= 6) { // the others have not answered yet
+        // The others have not answered yet.
+        if (fixture.sends(id).get(i).worker() <= 6) {
           fixture.outcome(fixture.sends(id).get(i), i, OutcomeCode.CONNECT_FAILED, 10);
         }
       }
-      fixture.pass(20);
+      fixture.advanceInTicks(20);
     }
     assertTrue(
         fixture.all(Log.class).stream().noneMatch(l -> l.text().contains("hall")),
         fixture.all(Log.class).toString());
   }
 
-  /** One bad worker in a hall says nothing of the others there. */
+  /** A few failing workers in a hall say nothing about the others there. */
   @Test
   void aHallWithOneFailingWorkerIsUsed() {
-    DispatcherFixture fixture = fixture().list(30);
-    int hall = 0;
+    DispatcherFixture fixture = fixture().listWorkers(30);
+    int hallSends = 0;
     for (int id = 1; id <= 200; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, id % 20);
       for (int i = 0; i < fixture.sends(id).size(); i++) {
@@ -1007,60 +1003,62 @@
             i,
             worker == 1 || worker == 4 ? OutcomeCode.CONNECT_FAILED : OutcomeCode.OK,
             10);
-        hall += worker % 3 == 1 && worker > 4 ? 1 : 0;
+        hallSends += worker % 3 == 1 && worker > 4 ? 1 : 0;
       }
-      fixture.pass(50);
+      fixture.advanceInTicks(50);
     }
-    assertTrue(hall > 20, "only " + hall + " sends to the well workers of the hall");
+    assertTrue(hallSends > 20, "only " + hallSends + " sends to the healthy workers of the hall");
   }
 
-  private static Settings among(int siblings) {
-    Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
+  private static Settings settingsWithFrontEnds(int frontEndCount) {
+    Settings settings = DispatcherFixture.settings(true, DedupScope.ALL);
     return new Settings(
         0,
-        siblings,
+        frontEndCount,
         0,
-        s.classes(),
-        s.tenants(),
-        s.overShareValueFactor(),
+        settings.classes(),
+        settings.tenants(),
+        settings.overShareValueFactor(),
         false,
         false,
-        s.weightKind(),
-        s.kindMemoryMb(),
-        s.limits(),
-        s.rules(),
-        s.loadPolicy(),
-        s.loadReportFormat(),
-        s.costs());
+        settings.weightKind(),
+        settings.kindMemoryMb(),
+        settings.limits(),
+        settings.rules(),
+        settings.loadPolicy(),
+        settings.loadReportFormat(),
+        settings.costs());
   }
 
   /**
-   * Most orders for the further homes of a function would find a copy that another front end had
+   * Most preloads for the further homes of a function would find a copy that another front end has
    * loaded.
    */
   @Test
-  void manyFrontEndsGiveFewOrdersForTheSameHomes() {
-    int orders = 0;
+  void manyFrontEndsSendFewPreloadsForTheSameHomes() {
+    int preloads = 0;
     for (int seed = 1; seed <= 14; seed++) {
-      DispatcherFixture fixture = new DispatcherFixture(among(14), seed).list(20);
+      DispatcherFixture fixture =
+          new DispatcherFixture(settingsWithFrontEnds(14), seed).listWorkers(20);
       for (int id = 1; id <= 200; id++) {
         fixture.call(id, IDEMPOTENT_CLASS, id % 4);
-        fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20).pass(50);
+        fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20).advanceInTicks(50);
       }
-      orders += fixture.all(Preload.class).size();
+      preloads += fixture.all(Preload.class).size();
     }
-    assertTrue(orders <= 10, orders + " orders of 14 front ends for four functions");
+    assertTrue(preloads <= 10, preloads + " preloads of 14 front ends for four functions");
   }
 
   /**
-   * An order to a worker that is cut off would arrive with those of a later time, and break the
-   * ration then.
+   * A preload for an unreachable worker would arrive together with later ones and exceed the limit
+   * then.
    */
   @Test
-  void aSilentWorkerGetsNoOrders() {
-    DispatcherFixture fixture = new DispatcherFixture(among(14), 7).list(1);
+  void aSilentWorkerGetsNoPreloads() {
+    DispatcherFixture fixture = new DispatcherFixture(settingsWithFrontEnds(14), 7).listWorkers(1);
     fixture.call(1, IDEMPOTENT_CLASS, 1).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
-    fixture.call(2, NOT_IDEMPOTENT_CLASS, 1).pass(2_000); // no answer comes
+    // No answer arrives.
+    fixture.call(2, NOT_IDEMPOTENT_CLASS, 1).advanceInTicks(2_000);
     for (int id = 3; id <= 5; id++) {
       fixture
           .event(
@@ -1076,7 +1074,7 @@
                   false,
                   false,
                   900 * MILLISECOND))
-          .at(20);
+          .advance(20);
     }
     assertTrue(fixture.all(Preload.class).isEmpty());
     fixture.outcome(fixture.sends(2).get(0), 0, OutcomeCode.OK, 2_000);
@@ -1096,16 +1094,14 @@
     assertEquals(1, fixture.all(Preload.class).size());
   }
 
-  /**
-   * The ration of orders is taken from calls that surely count for it: not from those that clients
-   * try again.
-   */
+  /** Only calls that certainly count for the preload limit extend it, not the clients' retries. */
   @Test
-  void callsThatAreTriedAgainEarnNoOrders() {
+  void retriedCallsEarnNoPreloads() {
     int first = 0;
-    int again = 0;
-    for (boolean repeat : new boolean[] {false, true}) {
-      DispatcherFixture fixture = new DispatcherFixture(among(14), 7).list(20);
+    int retried = 0;
+    for (boolean retry : new boolean[] {false, true}) {
+      DispatcherFixture fixture =
+          new DispatcherFixture(settingsWithFrontEnds(14), 7).listWorkers(20);
       for (int id = 1; id <= 100; id++) {
         fixture
             .event(
@@ -1118,44 +1114,47 @@
                     300,
                     NOT_IDEMPOTENT_CLASS,
                     0,
-                    repeat,
+                    retry,
                     false,
                     900 * MILLISECOND))
-            .at(20);
+            .advance(20);
       }
-      first += repeat ? 0 : fixture.all(Preload.class).size();
-      again += repeat ? fixture.all(Preload.class).size() : 0;
+      first += retry ? 0 : fixture.all(Preload.class).size();
+      retried += retry ? fixture.all(Preload.class).size() : 0;
     }
-    assertEquals(2, again, "what is free");
-    assertTrue(first > 10, first + " orders");
+    assertEquals(2, retried, "the free preloads");
+    assertTrue(first > 10, first + " preloads");
   }
 
-  /** One call a second shows that a worker is slow, if it isn't forgotten within five. */
+  /**
+   * One call per second reveals a slow worker if its latency ratio is not forgotten within five
+   * seconds.
+   */
   @Test
-  void aSlowWorkerIsKnownByFewCalls() {
-    DispatcherFixture fixture = new DispatcherFixture(among(14), 7).list(40);
+  void aSlowWorkerIsDetectedByFewCalls() {
+    DispatcherFixture fixture = new DispatcherFixture(settingsWithFrontEnds(14), 7).listWorkers(40);
     double slowest = 0;
     for (int id = 1; id <= 400; id++) {
       fixture.call(id, IDEMPOTENT_CLASS, id % 120);
       boolean slow = fixture.lastSend().worker() == 3 || fixture.lastSend().worker() == 4;
-      fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, slow ? 400 : 60).pass(50);
+      fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, slow ? 400 : 60).advanceInTicks(50);
       slowest =
           Math.max(
               fixture.dispatcher.workers.get(3).latencyRatio,
               fixture.dispatcher.workers.get(4).latencyRatio);
     }
-    assertTrue(slowest > 2, "pace " + slowest);
+    assertTrue(slowest > 2, "latency ratio " + slowest);
   }
 
   /**
-   * Others want a last copy loaded: within the ration, for a known function, never at a cold or
-   * drained worker.
+   * A copy requested by peers is preloaded: within the limit, for a known function, and never at a
+   * cold or draining worker.
    */
   @Test
-  void aCopyThatOthersWantIsOrderedWithinTheRation() {
+  void aCopyThatPeersRequestIsPreloadedWithinTheLimit() {
     DispatcherFixture fixture =
         new DispatcherFixture(DispatcherFixture.settings(true, DedupScope.ALL), 7)
-            .list(3)
+            .listWorkers(3)
             .call(1, IDEMPOTENT_CLASS, 9);
     fixture.event(
         new WorkerListUpdate(
@@ -1166,7 +1165,8 @@
     for (int worker : new int[] {2, 3, 77}) {
       fixture.event(new CopyRequested(worker, 9));
     }
-    fixture.event(new CopyRequested(1, 10)); // nobody called it
+    // Function 10 was never called.
+    fixture.event(new CopyRequested(1, 10));
     assertEquals(0, fixture.all(Preload.class).size());
     for (int i = 0; i < 5; i++) {
       fixture.event(new CopyRequested(1, 9));
@@ -1174,28 +1174,29 @@
     assertEquals(2, fixture.all(Preload.class).size(), "two are free, and one call earns none");
   }
 
-  /** A deployment without a ration of loads: no default takes its place. */
+  /** In a deployment without a preload limit no default limit applies. */
   @Test
-  void anAbsentRationIsNoRation() {
-    Settings s = DispatcherFixture.settings(true, DedupScope.ALL);
-    Settings none =
+  void anAbsentPreloadLimitIsNoLimit() {
+    Settings settings = DispatcherFixture.settings(true, DedupScope.ALL);
+    Settings unlimited =
         new Settings(
             0,
             2,
             0,
-            s.classes(),
-            s.tenants(),
+            settings.classes(),
+            settings.tenants(),
             0.2,
             false,
             false,
             WeightKind.SILENT,
             List.of(),
-            s.limits(),
-            s.rules(),
+            settings.limits(),
+            settings.rules(),
             new LoadPolicy(true, true, 0, 0, 0, 10 * SECOND, false, true, 0),
-            s.loadReportFormat(),
-            s.costs());
-    DispatcherFixture fixture = new DispatcherFixture(none, 7).list(3).call(1, IDEMPOTENT_CLASS, 9);
+            settings.loadReportFormat(),
+            settings.costs());
+    DispatcherFixture fixture =
+        new DispatcherFixture(unlimited, 7).listWorkers(3).call(1, IDEMPOTENT_CLASS, 9);
     for (int i = 0; i < 50; i++) {
       fixture.event(new CopyRequested(1, 9));
     }
@@ -1203,29 +1204,29 @@
   }
 
   /**
-   * What others say counts where it is later than what was seen here; a benched worker is tried
-   * once it is said to answer.
+   * An observation of a peer counts if it is more recent than the own one; a benched worker gets a
+   * trial call once a peer reports that it answers.
    */
   @Test
-  void laterHearsayBenchesAndLetsTry() {
-    DispatcherFixture fixture = fixture().list(6).call(1, IDEMPOTENT_CLASS, 9);
+  void laterPeerObservationsBenchAndAllowATrial() {
+    DispatcherFixture fixture = fixture().listWorkers(6).call(1, IDEMPOTENT_CLASS, 9);
     int worker = fixture.lastSend().worker();
-    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20).at(100);
-    fixture
-        .event(new WorkerObservation(worker, 1, 1, 200 * MILLISECOND, 1))
-        .pass(100); // seen before the answer
+    fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20).advance(100);
+    // Observed before the answer.
+    fixture.event(new WorkerObservation(worker, 1, 1, 200 * MILLISECOND, 1)).advanceInTicks(100);
     assertFalse(fixture.dispatcher.workers.get(worker).benched);
-    fixture.event(new WorkerObservation(worker, 1, 1, 0, 1)).pass(100);
+    fixture.event(new WorkerObservation(worker, 1, 1, 0, 1)).advanceInTicks(100);
     assertTrue(fixture.dispatcher.workers.get(worker).benched);
-    for (int id = 2; id < 60; id++) { // said again, as a prober does
-      fixture.call(id, IDEMPOTENT_CLASS, id).pass(50);
+    // Reported repeatedly, as by a prober.
+    for (int id = 2; id < 60; id++) {
+      fixture.call(id, IDEMPOTENT_CLASS, id).advanceInTicks(50);
       fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 50);
       fixture.event(new WorkerObservation(worker, 1, 1, 0, 1));
     }
     assertEquals(
         1,
         fixture.all(Send.class).stream().filter(s -> s.worker() == worker).count(),
-        "sends that met it");
+        "sends to the benched worker");
     fixture.event(new WorkerObservation(worker, 1, 0, 0, 1)).call(60, IDEMPOTENT_CLASS, 60);
     assertEquals(worker, fixture.lastSend().worker(), "tried at once");
   }
--- a/src/test/java/saddlestall/DispatcherFixture.java
+++ b/src/test/java/saddlestall/DispatcherFixture.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import saddlestall.Dispatcher.*;
 
-/** Builds settings and events for tests, and keeps the actions of one instance. */
+/** Drives one dispatcher on a simulated clock and collects its actions. */
 final class DispatcherFixture {
   static final long MILLISECOND = 1_000;
   static final long SECOND = 1_000_000;
@@ -21,7 +21,7 @@
     dispatcher = new AdaptiveDispatcher(settings, seed, now, actions::add);
   }
 
-  static Settings settings(boolean orders, DedupScope group) {
+  static Settings settings(boolean mayPreload, DedupScope dedupScope) {
     List<CallClass> classes =
         List.of(
             new CallClass(
@@ -49,15 +49,15 @@
                 0,
                 2500 * MILLISECOND,
                 Idempotency.DEDUPLICATED,
-                group,
+                dedupScope,
                 SECOND,
                 2,
                 0.2,
                 false));
-    return settings(classes, orders);
+    return settings(classes, mayPreload);
   }
 
-  static Settings settings(List<CallClass> classes, boolean orders) {
+  static Settings settings(List<CallClass> classes, boolean mayPreload) {
     return new Settings(
         0,
         2,
@@ -72,20 +72,20 @@
         new Limits(true, true, true, false, true, 500 * MILLISECOND, 4, 250 * MILLISECOND),
         new Rules(
             16 * MILLISECOND, 10 * SECOND, 250 * MILLISECOND, 15 * SECOND, 0.15, 2 * SECOND, 3),
-        new LoadPolicy(true, orders, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
+        new LoadPolicy(true, mayPreload, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
         new LoadReportFormat(
             ReportDelivery.PROBES, List.of(ReportField.UTILIZATION, ReportField.QUEUE)),
         new Costs(0, 0, 0, 0, 0, 0));
   }
 
-  static WorkerEntry entry(int id, WorkerState state, long cameUp) {
-    return new WorkerEntry(id, id % 3, 0, id % 2, state, 1, cameUp);
+  static WorkerEntry entry(int id, WorkerState state, long startedAt) {
+    return new WorkerEntry(id, id % 3, 0, id % 2, state, 1, startedAt);
   }
 
-  /** Gives the whole list: workers 1 to n, long up. */
-  DispatcherFixture list(int n) {
+  /** Sends a complete worker list with the workers 1 to {@code count}, all warm. */
+  DispatcherFixture listWorkers(int count) {
     List<WorkerEntry> entries = new ArrayList<>();
-    for (int id = 1; id <= n; id++) {
+    for (int id = 1; id <= count; id++) {
       entries.add(entry(id, WorkerState.READY, 0));
     }
     return event(new WorkerListUpdate(ListKind.FULL, entries));
@@ -96,19 +96,20 @@
     return this;
   }
 
-  void exportObservations(java.util.function.Consumer<Dispatcher.Observation> facts) {
-    dispatcher.exportObservations(now, facts);
+  void exportObservations(java.util.function.Consumer<Dispatcher.Observation> observations) {
+    dispatcher.exportObservations(now, observations);
   }
 
-  DispatcherFixture at(long millis) {
+  /** Advances the clock without an event. */
+  DispatcherFixture advance(long millis) {
     now += millis * MILLISECOND;
     return this;
   }
 
-  /** Lets time pass in ticks. */
-  DispatcherFixture pass(long millis) {
+  /** Advances the clock in ticks of 50 ms. */
+  DispatcherFixture advanceInTicks(long millis) {
     for (long t = 0; t < millis; t += 50) {
-      at(50).event(new TimerFired(-1));
+      advance(50).event(new TimerFired(-1));
     }
     return this;
   }
@@ -129,17 +130,17 @@
             500 * MILLISECOND));
   }
 
-  DispatcherFixture outcome(Send send, int attempt, OutcomeCode code, long tookMillis) {
-    CopyStatus note = code == OutcomeCode.OK ? CopyStatus.WARM : CopyStatus.NONE;
+  DispatcherFixture outcome(Send send, int attempt, OutcomeCode code, long elapsedMillis) {
+    CopyStatus copyStatus = code == OutcomeCode.OK ? CopyStatus.WARM : CopyStatus.NONE;
     return event(
         new AttemptOutcome(
             send.call(),
             attempt,
             send.worker(),
             code,
-            tookMillis * MILLISECOND,
+            elapsedMillis * MILLISECOND,
             code == OutcomeCode.OK,
-            note,
+            copyStatus,
             code == OutcomeCode.OK ? 0 : -1,
             null));
   }
--- a/src/test/java/saddlestall/EmbeddingTest.java
+++ b/src/test/java/saddlestall/EmbeddingTest.java
@@ -9,11 +9,14 @@
 import org.junit.jupiter.api.Test;
 import saddlestall.Dispatcher.*;
 
-/** How a front end embeds the module: feed events with the clock, carry out actions and timers. */
+/**
+ * Shows how a front end embeds the module: it passes events with the clock and carries out actions
+ * and timers.
+ */
 class EmbeddingTest {
-  private record Alarm(long at, long token) {}
+  private record PendingTimer(long at, long token) {}
 
-  private final PriorityQueue<Alarm> alarms =
+  private final PriorityQueue<PendingTimer> timers =
       new PriorityQueue<>((a, b) -> Long.compare(a.at(), b.at()));
   private final List<Send> sends = new ArrayList<>();
   private final List<String> answers = new ArrayList<>();
@@ -21,22 +24,23 @@
 
   private void carryOut(Action action) {
     if (action instanceof Send a) {
-      sends.add(a); // put the call on the wire to a.worker()
+      // A real front end would send the call to worker a.worker() here.
+      sends.add(a);
     } else if (action instanceof Refuse a) {
       answers.add("refused " + a.call());
     } else if (action instanceof Fail a) {
       answers.add("failed " + a.call());
     } else if (action instanceof StartTimer a) {
-      alarms.add(new Alarm(now + a.delay(), a.token()));
+      timers.add(new PendingTimer(now + a.delay(), a.token()));
     }
   }
 
   @Test
   void servesACall() {
     Consumer<Action> actions = this::carryOut;
-    Dispatcher front =
+    Dispatcher dispatcher =
         new AdaptiveDispatcher(DispatcherFixture.settings(false, DedupScope.ALL), 42, now, actions);
-    front.handle(
+    dispatcher.handle(
         now,
         new WorkerListUpdate(
             ListKind.FULL,
@@ -44,12 +48,13 @@
                 new WorkerEntry(11, 0, 0, 0, WorkerState.READY, 1, 0),
                 new WorkerEntry(12, 1, 0, 0, WorkerState.READY, 1, 0))),
         actions);
-    front.handle(
+    dispatcher.handle(
         now, new CallArrival(1, 2_500_000, 0, 7, 2, 300, 0, 0, false, false, 500_000), actions);
     Send send = sends.get(0);
 
-    now += 620_000; // the worker's answer comes
-    front.handle(
+    // The worker's answer arrives.
+    now += 620_000;
+    dispatcher.handle(
         now,
         new AttemptOutcome(
             send.call(),
@@ -62,9 +67,10 @@
             0,
             null),
         actions);
-    while (!alarms.isEmpty() && alarms.peek().at() < 4_000_000) { // the timers of three seconds
-      now = Math.max(now, alarms.peek().at());
-      front.handle(now, new TimerFired(alarms.poll().token()), actions);
+    // The timers of the next three seconds expire.
+    while (!timers.isEmpty() && timers.peek().at() < 4_000_000) {
+      now = Math.max(now, timers.peek().at());
+      dispatcher.handle(now, new TimerFired(timers.poll().token()), actions);
     }
     assertEquals(1, sends.size());
     assertEquals(List.of(), answers);
--- a/src/test/java/saddlestall/RenewalTest.java
+++ b/src/test/java/saddlestall/RenewalTest.java
@@ -11,25 +11,26 @@
 import saddlestall.Dispatcher.*;
 
 /**
- * What the module does where the list can't be relied on: permissions that end, and drains that
- * nobody tells.
+ * Tests for an unreliable worker list: leases that expire, and draining workers that the list does
+ * not report.
  */
 class RenewalTest {
   private static final long FUNCTION = 9;
 
-  private static DispatcherFixture fixture(boolean orders) {
-    return new DispatcherFixture(DispatcherFixture.settings(orders, DedupScope.ALL), 7).list(4);
+  private static DispatcherFixture fixture(boolean mayPreload) {
+    return new DispatcherFixture(DispatcherFixture.settings(mayPreload, DedupScope.ALL), 7)
+        .listWorkers(4);
   }
 
-  /** Serves a call; the worker that did. */
+  /** Serves a call and returns the worker that did. */
   private static int serve(DispatcherFixture fixture, int call) {
     fixture.call(call, IDEMPOTENT_CLASS, FUNCTION);
     int worker = fixture.lastSend().worker();
-    fixture.at(20).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
+    fixture.advance(20).outcome(fixture.lastSend(), 0, OutcomeCode.OK, 20);
     return worker;
   }
 
-  private static DispatcherFixture full(DispatcherFixture fixture, Send send, int crowd) {
+  private static DispatcherFixture reject(DispatcherFixture fixture, Send send, int concurrency) {
     return fixture.event(
         new AttemptOutcome(
             send.call(),
@@ -39,12 +40,12 @@
             MILLISECOND,
             false,
             CopyStatus.NONE,
-            crowd,
+            concurrency,
             null));
   }
 
   @Test
-  void aPermissionThatEndsIsRenewedByAnOrderForWhatStandsThere() {
+  void anExpiringLeaseIsRenewedByAPreloadOfALoadedFunction() {
     DispatcherFixture fixture = fixture(true);
     int worker = serve(fixture, 1);
     fixture.event(new LeasesExpiring(List.of(worker), 1));
@@ -52,22 +53,23 @@
   }
 
   /**
-   * Two orders are free in five seconds, and none is given so soon that none is left for the next.
+   * Two preloads are free in five seconds, and they are paced so that some are left for the next
+   * leases.
    */
   @Test
-  void renewalsArePacedWithinTheRation() {
+  void renewalsArePacedWithinThePreloadLimit() {
     DispatcherFixture fixture = fixture(true);
     serve(fixture, 1);
     for (int i = 0; i < 100; i++) {
       fixture.event(new LeasesExpiring(List.of(1, 2, 3, 4), 4));
       assertTrue(fixture.all(Preload.class).size() <= 1 + i / 40, "after " + i);
-      fixture.at(50);
+      fixture.advance(50);
     }
     assertTrue(fixture.all(Preload.class).size() >= 2);
   }
 
   @Test
-  void whereOrdersAreNotAllowedACallGoesToTheWorkerWhosePermissionEnds() {
+  void withoutPreloadsACallGoesToTheWorkerWhoseLeaseExpires() {
     DispatcherFixture fixture = fixture(false);
     int usual = serve(fixture, 1);
     int other = usual % 4 + 1;
@@ -76,34 +78,37 @@
     assertEquals(usual, serve(fixture, 3));
   }
 
-  /** It turns away every call for two seconds and holds none: it drains, whatever the list says. */
+  /**
+   * A worker that rejects every call for two seconds and runs none is draining, whatever the list
+   * says.
+   */
   @Test
-  void aWorkerThatTurnsAllAwayAndHoldsNoneIsPassedOver() {
-    int tries = triesOfFullWorker(0);
-    assertTrue(tries <= 6, tries + " tries");
+  void aWorkerThatRejectsAllAndRunsNoneIsSkipped() {
+    int attempts = attemptsAtFullWorker(0);
+    assertTrue(attempts <= 6, attempts + " attempts");
   }
 
-  /** One that is at work is tried again at the pace of a full one. */
+  /** A full worker that runs calls is retried with the backoff for rejections. */
   @Test
-  void aFullWorkerThatIsAtWorkIsNotTakenForOneThatDrains() {
-    int tries = triesOfFullWorker(3);
-    assertTrue(tries >= 15, tries + " tries");
+  void aBusyFullWorkerIsNotTakenForDraining() {
+    int attempts = attemptsAtFullWorker(3);
+    assertTrue(attempts >= 15, attempts + " attempts");
   }
 
   /**
-   * How often one of four workers is tried within forty seconds, when it has turned all away for
-   * twenty.
+   * Counts the attempts at one of four workers within forty seconds, after it has rejected
+   * everything for twenty.
    */
-  private static int triesOfFullWorker(int crowd) {
+  private static int attemptsAtFullWorker(int concurrency) {
     DispatcherFixture fixture = fixture(false);
     int full = serve(fixture, 1);
-    int tries = 0;
+    int attempts = 0;
     for (int call = 2; call < 1_202; call++) {
       fixture.call(call, IDEMPOTENT_CLASS, FUNCTION);
       Send send = fixture.lastSend();
       if (send.worker() == full) {
-        tries += call > 402 ? 1 : 0;
-        full(fixture, send, crowd);
+        attempts += call > 402 ? 1 : 0;
+        reject(fixture, send, concurrency);
         send = fixture.lastSend();
         assertFalse(send.worker() == full);
         fixture.event(
@@ -118,10 +123,10 @@
                 0,
                 null));
       } else {
-        fixture.at(20).outcome(send, 0, OutcomeCode.OK, 20);
+        fixture.advance(20).outcome(send, 0, OutcomeCode.OK, 20);
       }
-      fixture.pass(50);
+      fixture.advanceInTicks(50);
     }
-    return tries;
+    return attempts;
   }
 }
--- a/src/test/java/saddlestall/RulesTest.java
+++ b/src/test/java/saddlestall/RulesTest.java
@@ -14,28 +14,28 @@
 import saddlestall.Dispatcher.*;
 
 /**
- * Checks rules 1, 2, 3 and 5 and the attempt limits over long random scripts of legal events. A
- * test of invariants: the events are drawn without a model of any server.
+ * Checks the rules 1, 2, 3 and 5 and the attempt limit over long random sequences of valid events.
+ * This is a test of invariants: the events are drawn without a model of a server.
  */
 class RulesTest {
   private static final int STEPS = 6_000;
 
-  /** What the checker knows of a call. */
-  private static final class Seen {
+  /** What the checker tracks of a call. */
+  private static final class TrackedCall {
     CallArrival call;
     long deadline;
     int sent;
-    Send out;
+    Send inFlight;
     boolean mayHaveRun;
-    int ranCell;
-    long ranSince;
-    boolean over;
+    int firstRunCell;
+    long firstRunAt;
+    boolean finished;
   }
 
-  private final Map<Integer, Seen> calls = new TreeMap<>();
-  private final Map<Integer, WorkerEntry> list = new TreeMap<>();
-  private final List<Long> took = new ArrayList<>();
-  private final List<Long> orders = new ArrayList<>();
+  private final Map<Integer, TrackedCall> calls = new TreeMap<>();
+  private final Map<Integer, WorkerEntry> workers = new TreeMap<>();
+  private final List<Long> arrivalTimes = new ArrayList<>();
+  private final List<Long> preloadTimes = new ArrayList<>();
   private final StringBuilder trace = new StringBuilder();
   private DispatcherFixture fixture;
   private int checked;
@@ -52,151 +52,163 @@
   }
 
   private void run(long seed) {
-    Settings s = DispatcherFixture.settings(true, DedupScope.CELL);
-    fixture = new DispatcherFixture(s, seed);
-    Random r = new Random(seed);
+    Settings settings = DispatcherFixture.settings(true, DedupScope.CELL);
+    fixture = new DispatcherFixture(settings, seed);
+    Random random = new Random(seed);
     int id = 0;
     for (int step = 0; step < STEPS; step++) {
-      fixture.now += r.nextInt(20) * MILLISECOND;
-      deadlines();
-      switch (r.nextInt(10)) {
-        case 0 -> members(r);
+      fixture.now += random.nextInt(20) * MILLISECOND;
+      expireDeadlines();
+      switch (random.nextInt(10)) {
+        case 0 -> updateWorkers(random);
         case 1, 2 -> fixture.event(new TimerFired(-1));
         case 3, 4, 5 -> {
-          Seen seen = new Seen();
-          seen.call =
+          TrackedCall tracked = new TrackedCall();
+          tracked.call =
               new CallArrival(
                   ++id,
-                  (1 + r.nextInt(2500)) * MILLISECOND,
-                  r.nextInt(2) * 50 * MILLISECOND,
-                  r.nextInt(12),
+                  (1 + random.nextInt(2500)) * MILLISECOND,
+                  random.nextInt(2) * 50 * MILLISECOND,
+                  random.nextInt(12),
                   1,
                   300,
-                  r.nextInt(3),
+                  random.nextInt(3),
                   0,
-                  r.nextBoolean(),
+                  random.nextBoolean(),
                   false,
-                  r.nextInt(800) * MILLISECOND);
-          seen.deadline = fixture.now + seen.call.budget();
-          calls.put(id, seen);
-          took.add(fixture.now);
-          fixture.event(seen.call);
+                  random.nextInt(800) * MILLISECOND);
+          tracked.deadline = fixture.now + tracked.call.budget();
+          calls.put(id, tracked);
+          arrivalTimes.add(fixture.now);
+          fixture.event(tracked.call);
         }
-        default -> outcome(r, s);
+        default -> reportOutcome(random, settings);
       }
-      check(s);
+      checkActions(settings);
     }
     fixture.now += 10_000 * MILLISECOND;
-    deadlines();
-    check(s);
-    calls.values().forEach(c -> assertTrue(c.over, "call " + c.call.id() + " was lost"));
+    expireDeadlines();
+    checkActions(settings);
+    calls
+        .values()
+        .forEach(
+            tracked ->
+                assertTrue(tracked.finished, "call " + tracked.call.id() + " has no final answer"));
   }
 
-  private void deadlines() {
-    for (Seen c : new ArrayList<>(calls.values())) {
-      if (!c.over && c.deadline <= fixture.now) {
-        fixture.event(new TimerFired(c.call.id()));
-        check(DispatcherFixture.settings(true, DedupScope.CELL));
-        assertTrue(c.over, "call " + c.call.id() + " has no answer at its deadline");
+  private void expireDeadlines() {
+    for (TrackedCall tracked : new ArrayList<>(calls.values())) {
+      if (!tracked.finished && tracked.deadline <= fixture.now) {
+        fixture.event(new TimerFired(tracked.call.id()));
+        checkActions(DispatcherFixture.settings(true, DedupScope.CELL));
+        assertTrue(
+            tracked.finished, "call " + tracked.call.id() + " has no answer at its deadline");
       }
     }
   }
 
-  private void members(Random r) {
-    List<WorkerEntry> lines = new ArrayList<>();
-    for (int w = 1; w <= 6; w++) {
-      if (r.nextInt(3) == 0) {
-        WorkerState state = WorkerState.values()[Math.min(2, r.nextInt(6))];
-        lines.add(
+  private void updateWorkers(Random random) {
+    List<WorkerEntry> entries = new ArrayList<>();
+    for (int worker = 1; worker <= 6; worker++) {
+      if (random.nextInt(3) == 0) {
+        WorkerState state = WorkerState.values()[Math.min(2, random.nextInt(6))];
+        entries.add(
             DispatcherFixture.entry(
-                w,
-                r.nextInt(2) == 0 ? WorkerState.READY : state,
-                r.nextInt(4) == 0 ? fixture.now : 0));
+                worker,
+                random.nextInt(2) == 0 ? WorkerState.READY : state,
+                random.nextInt(4) == 0 ? fixture.now : 0));
       }
     }
-    lines.forEach(m -> list.put(m.worker(), m));
-    fixture.event(new WorkerListUpdate(ListKind.DELTA, lines));
+    entries.forEach(entry -> workers.put(entry.worker(), entry));
+    fixture.event(new WorkerListUpdate(ListKind.DELTA, entries));
   }
 
-  private void outcome(Random r, Settings s) {
-    List<Seen> out = calls.values().stream().filter(c -> c.out != null).toList();
-    if (out.isEmpty()) {
+  private void reportOutcome(Random random, Settings settings) {
+    List<TrackedCall> inFlight =
+        calls.values().stream().filter(tracked -> tracked.inFlight != null).toList();
+    if (inFlight.isEmpty()) {
       return;
     }
-    Seen c = out.get(r.nextInt(out.size()));
-    OutcomeCode code = OutcomeCode.values()[r.nextInt(OutcomeCode.values().length)];
-    Send send = c.out;
-    c.out = null;
-    if (!code.notRun && !c.mayHaveRun) {
-      c.mayHaveRun = true;
-      c.ranCell = list.get(send.worker()).cell();
-      c.ranSince = fixture.now - 5 * MILLISECOND;
+    TrackedCall tracked = inFlight.get(random.nextInt(inFlight.size()));
+    OutcomeCode code = OutcomeCode.values()[random.nextInt(OutcomeCode.values().length)];
+    Send send = tracked.inFlight;
+    tracked.inFlight = null;
+    if (!code.notRun && !tracked.mayHaveRun) {
+      tracked.mayHaveRun = true;
+      tracked.firstRunCell = workers.get(send.worker()).cell();
+      tracked.firstRunAt = fixture.now - 5 * MILLISECOND;
     }
-    boolean closed = c.over || code == OutcomeCode.OK;
-    c.over = closed;
+    boolean closed = tracked.finished || code == OutcomeCode.OK;
+    tracked.finished = closed;
     fixture.event(
         new AttemptOutcome(
             send.call(),
-            c.sent - 1,
+            tracked.sent - 1,
             send.worker(),
             code,
             900 * MILLISECOND,
             closed,
-            CopyStatus.values()[r.nextInt(5)],
-            r.nextInt(5) - 1,
+            CopyStatus.values()[random.nextInt(5)],
+            random.nextInt(5) - 1,
             null));
   }
 
-  private void check(Settings s) {
+  private void checkActions(Settings settings) {
     for (; checked < fixture.actions.size(); checked++) {
       Action action = fixture.actions.get(checked);
       trace.append(action).append('\n');
       if (action instanceof Send a) {
-        checkSend(a, s);
+        checkSend(a, settings);
       } else if (action instanceof Refuse a) {
-        Seen c = answered(a.call());
-        Idempotency effect = s.classes().get(c.call.callClass()).idempotency();
+        TrackedCall tracked = finish(a.call());
+        Idempotency idempotency = settings.classes().get(tracked.call.callClass()).idempotency();
         assertTrue(
-            effect == Idempotency.IDEMPOTENT || !c.mayHaveRun && c.out == null,
+            idempotency == Idempotency.IDEMPOTENT
+                || !tracked.mayHaveRun && tracked.inFlight == null,
             "refused, but may have run");
       } else if (action instanceof Fail a) {
-        answered(a.call());
+        finish(a.call());
       } else if (action instanceof Preload a) {
-        assertEquals(WorkerState.READY, list.get(a.worker()).state(), "rule 3, order");
-        orders.add(fixture.now);
-        long since = fixture.now - s.loadPolicy().preloadWindow();
-        // Orders arrive up to a connect later, and then count together with those given in the
-        // meantime.
-        long waited = since - s.limits().connectTimeout();
-        long given = orders.stream().filter(t -> t >= waited).count();
-        long taken = took.stream().filter(t -> t > since).count();
+        assertEquals(WorkerState.READY, workers.get(a.worker()).state(), "rule 3, preload");
+        preloadTimes.add(fixture.now);
+        long policyWindowStart = fixture.now - settings.loadPolicy().preloadWindow();
+        // A preload arrives up to a connect timeout later and then counts together with those sent
+        // in the meantime.
+        long windowStart = policyWindowStart - settings.limits().connectTimeout();
+        long sent = preloadTimes.stream().filter(t -> t >= windowStart).count();
+        long arrived = arrivalTimes.stream().filter(t -> t > policyWindowStart).count();
         assertTrue(
-            given <= s.loadPolicy().freePreloads() + s.loadPolicy().preloadsPerCall() * taken,
+            sent
+                <= settings.loadPolicy().freePreloads()
+                    + settings.loadPolicy().preloadsPerCall() * arrived,
             "rule 5");
       }
     }
   }
 
-  private Seen answered(int call) {
-    Seen c = calls.get(call);
-    assertTrue(!c.over, "a second answer for call " + call);
-    c.over = true;
-    return c;
+  private TrackedCall finish(int call) {
+    TrackedCall tracked = calls.get(call);
+    assertTrue(!tracked.finished, "a second answer for call " + call);
+    tracked.finished = true;
+    return tracked;
   }
 
-  private void checkSend(Send a, Settings s) {
-    Seen c = calls.get(a.call());
-    CallClass kind = s.classes().get(c.call.callClass());
-    assertTrue(!c.over, "sent after its answer");
-    assertTrue(c.out == null, "two attempts at once");
-    assertTrue(++c.sent <= s.limits().maxAttempts(), "too many attempts");
-    assertEquals(WorkerState.READY, list.get(a.worker()).state(), "rule 3");
-    if (c.mayHaveRun) {
-      assertTrue(kind.idempotency() != Idempotency.NOT_IDEMPOTENT, "an unsafe call sent again");
-      if (kind.idempotency() == Idempotency.DEDUPLICATED) {
-        assertEquals(c.ranCell, list.get(a.worker()).cell(), "outside the cell");
+  private void checkSend(Send send, Settings settings) {
+    TrackedCall tracked = calls.get(send.call());
+    CallClass callClass = settings.classes().get(tracked.call.callClass());
+    assertTrue(!tracked.finished, "sent after its final answer");
+    assertTrue(tracked.inFlight == null, "two attempts in flight");
+    assertTrue(++tracked.sent <= settings.limits().maxAttempts(), "too many attempts");
+    assertEquals(WorkerState.READY, workers.get(send.worker()).state(), "rule 3");
+    if (tracked.mayHaveRun) {
+      assertTrue(
+          callClass.idempotency() != Idempotency.NOT_IDEMPOTENT,
+          "a non-idempotent call was sent again");
+      if (callClass.idempotency() == Idempotency.DEDUPLICATED) {
+        assertEquals(
+            tracked.firstRunCell, workers.get(send.worker()).cell(), "repeated outside the cell");
       }
     }
-    c.out = a;
+    tracked.inFlight = send;
   }
 }
--- a/src/test/java/saddlestall/SizeTest.java
+++ b/src/test/java/saddlestall/SizeTest.java
@@ -15,133 +15,140 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import saddlestall.Dispatcher.*;
 
-/** Many front ends side by side, each with a thin stream of calls: what holds for their sum. */
+/** Runs many front ends side by side, each with few calls, and checks limits on their sum. */
 class SizeTest {
-  private static final int FRONTS = 120;
+  private static final int FRONT_ENDS = 120;
   private static final int WORKERS = 40;
 
-  private static Settings settings(int siblings) {
-    Settings s = DispatcherFixture.settings(false, DedupScope.ALL);
+  private static Settings settings(int frontEndCount) {
+    Settings settings = DispatcherFixture.settings(false, DedupScope.ALL);
     return new Settings(
         0,
-        siblings,
+        frontEndCount,
         0,
-        s.classes(),
+        settings.classes(),
         List.of(new Tenant(1, 400)),
         0.2,
         false,
         false,
         WeightKind.SILENT,
         List.of(),
-        s.limits(),
-        s.rules(),
-        s.loadPolicy(),
-        s.loadReportFormat(),
-        s.costs());
+        settings.limits(),
+        settings.rules(),
+        settings.loadPolicy(),
+        settings.loadReportFormat(),
+        settings.costs());
   }
 
-  private static List<DispatcherFixture> fronts() {
-    List<DispatcherFixture> fronts = new ArrayList<>();
-    for (int i = 0; i < FRONTS; i++) {
-      fronts.add(new DispatcherFixture(settings(FRONTS), i).list(WORKERS));
+  private static List<DispatcherFixture> newFrontEnds() {
+    List<DispatcherFixture> frontEnds = new ArrayList<>();
+    for (int i = 0; i < FRONT_ENDS; i++) {
+      frontEnds.add(new DispatcherFixture(settings(FRONT_ENDS), i).listWorkers(WORKERS));
     }
-    return fronts;
+    return frontEnds;
   }
 
-  /** Three calls a second at each; every answer comes 100 ms later, from a warm copy. */
-  private static void second(List<DispatcherFixture> fronts, int from, int functions) {
-    for (int i = 0; i < fronts.size(); i++) {
-      DispatcherFixture fixture = fronts.get(i);
+  /**
+   * Runs one second: three calls at each front end, each answered after 100 ms from a warm copy.
+   */
+  private static void runSecond(List<DispatcherFixture> frontEnds, int from, int functions) {
+    for (int i = 0; i < frontEnds.size(); i++) {
+      DispatcherFixture fixture = frontEnds.get(i);
       for (int k = 0; k < 3; k++) {
         int id = from + k;
         fixture.call(id, IDEMPOTENT_CLASS, (i * 7 + id * 13) % functions);
-        fixture.pass(100);
+        fixture.advanceInTicks(100);
         if (!fixture.sends(id).isEmpty()) {
           fixture.outcome(fixture.sends(id).get(0), 0, OutcomeCode.OK, 100);
         }
-        fixture.pass(k == 2 ? 200 : 250);
+        fixture.advanceInTicks(k == 2 ? 200 : 250);
       }
     }
   }
 
   @Test
   void oneCallOfARareFunctionDoesNotOpenDozensOfHomes() {
-    List<DispatcherFixture> fronts = fronts();
-    for (int t = 0; t < 10; t++) {
-      second(fronts, 3 * t, 60);
+    List<DispatcherFixture> frontEnds = newFrontEnds();
+    for (int second = 0; second < 10; second++) {
+      runSecond(frontEnds, 3 * second, 60);
     }
     Set<Integer> homes = new HashSet<>();
-    for (DispatcherFixture fixture : fronts) {
+    for (DispatcherFixture fixture : frontEnds) {
       fixture.call(900, IDEMPOTENT_CLASS, 12345);
       homes.add(fixture.sends(900).get(0).worker());
     }
-    assertTrue(
-        homes.size() <= 5, "workers that one call of each front end went to: " + homes.size());
+    assertTrue(homes.size() <= 5, "workers that got one call of each front end: " + homes.size());
   }
 
   @Test
-  void allTogetherSpareAColdWorkerAndStillUseIt() {
-    List<DispatcherFixture> fronts = fronts();
-    for (int t = 0; t < 6; t++) {
-      second(fronts, 3 * t, 240);
+  void allFrontEndsTogetherSpareAColdWorkerAndStillUseIt() {
+    List<DispatcherFixture> frontEnds = newFrontEnds();
+    for (int second = 0; second < 6; second++) {
+      runSecond(frontEnds, 3 * second, 240);
     }
-    for (DispatcherFixture fixture : fronts) {
+    for (DispatcherFixture fixture : frontEnds) {
       fixture.event(
           new WorkerListUpdate(
               ListKind.DELTA,
               List.of(DispatcherFixture.entry(99, WorkerState.READY, fixture.now))));
     }
     int sent = 0;
-    for (int t = 6; t < 14; t++) {
-      second(fronts, 3 * t, 240);
-      int sum =
-          fronts.stream()
+    for (int second = 6; second < 14; second++) {
+      runSecond(frontEnds, 3 * second, 240);
+      int total =
+          frontEnds.stream()
               .mapToInt(
                   fixture ->
-                      (int) fixture.all(Send.class).stream().filter(s -> s.worker() == 99).count())
+                      (int)
+                          fixture.all(Send.class).stream()
+                              .filter(send -> send.worker() == 99)
+                              .count())
               .sum();
-      // A warm worker bears 9 calls a second; the cold one may get 3 times its present share of
+      // A warm worker handles 9 calls per second; the cold one may get 3 times its present share of
       // that.
-      double grown = 0.15 + 0.85 * (t - 5) / 15;
-      assertTrue(sum - sent <= 2 * 3 * grown * 9, "second " + t + ": " + (sum - sent));
-      sent = sum;
+      double warmUpFraction = 0.15 + 0.85 * (second - 5) / 15;
+      assertTrue(
+          total - sent <= 2 * 3 * warmUpFraction * 9, "second " + second + ": " + (total - sent));
+      sent = total;
     }
     assertTrue(sent > 0, "the cold worker was never used");
   }
 
   @ParameterizedTest
   @CsvSource({"1, 1", "1, 50", "5000, 1", "5000, 2000"})
-  void anySizeIsServed(int siblings, int workers) {
-    DispatcherFixture fixture = new DispatcherFixture(settings(siblings), 1).list(workers);
+  void anySizeIsServed(int frontEndCount, int workers) {
+    DispatcherFixture fixture =
+        new DispatcherFixture(settings(frontEndCount), 1).listWorkers(workers);
     for (int id = 1; id <= 20; id++) {
-      fixture.call(id, IDEMPOTENT_CLASS, id % 3).pass(50);
+      fixture.call(id, IDEMPOTENT_CLASS, id % 3).advanceInTicks(50);
       assertEquals(1, fixture.sends(id).size());
       fixture.outcome(fixture.lastSend(), 0, OutcomeCode.OK, 50);
     }
     assertTrue(
-        fixture.all(Send.class).stream().allMatch(s -> s.worker() >= 1 && s.worker() <= workers));
+        fixture.all(Send.class).stream()
+            .allMatch(send -> send.worker() >= 1 && send.worker() <= workers));
   }
 
   @Test
   void largerWorkersAreHomeToMoreFunctions() {
-    Settings s = settings(1);
+    Settings settings = settings(1);
     Settings rated =
         new Settings(
             0,
             1,
             0,
-            s.classes(),
-            s.tenants(),
+            settings.classes(),
+            settings.tenants(),
             0.2,
             false,
             false,
             WeightKind.NOMINAL,
             List.of(),
-            s.limits(),
-            s.rules(),
-            s.loadPolicy(),
-            s.loadReportFormat(),
-            s.costs());
+            settings.limits(),
+            settings.rules(),
+            settings.loadPolicy(),
+            settings.loadReportFormat(),
+            settings.costs());
     DispatcherFixture fixture = new DispatcherFixture(rated, 4);
     List<WorkerEntry> entries = new ArrayList<>();
     for (int id = 1; id <= 10; id++) {
@@ -150,29 +157,33 @@
     fixture.event(new WorkerListUpdate(ListKind.FULL, entries));
     int large = 0;
     for (int id = 1; id <= 400; id++) {
-      fixture.at(SECOND / MILLISECOND / 4).event(new TimerFired(-1)).call(id, IDEMPOTENT_CLASS, id);
+      fixture
+          .advance(SECOND / MILLISECOND / 4)
+          .event(new TimerFired(-1))
+          .call(id, IDEMPOTENT_CLASS, id);
       large += fixture.sends(id).get(0).worker() <= 5 ? 1 : 0;
       fixture.outcome(fixture.sends(id).get(0), 0, OutcomeCode.OK, 20);
     }
-    assertTrue(large > 260 && large < 350, "of 400 calls the larger half got " + large);
+    assertTrue(
+        large > 260 && large < 350, "calls of 400 at the larger half of the workers: " + large);
   }
 
   /**
-   * The claim counts_load: a belief in peers' copies does not outweigh a load that outlasts the
-   * call.
+   * A copy that is only inferred from peers' calls does not justify sending a call that a load
+   * would outlast.
    */
   @Test
   void aCallWithLittleTimeGoesOnlyWhereACopyWasSeen() {
-    DispatcherFixture fixture = new DispatcherFixture(settings(FRONTS), 2).list(WORKERS);
+    DispatcherFixture fixture = new DispatcherFixture(settings(FRONT_ENDS), 2).listWorkers(WORKERS);
     for (int id = 1; id <= 30; id++) {
       fixture
-          .at(100)
+          .advance(100)
           .event(new TimerFired(-1))
           .call(id, IDEMPOTENT_CLASS, 7)
           .outcome(fixture.lastSend(), 0, OutcomeCode.OK, 40);
     }
     Set<Integer> seen = new HashSet<>();
-    fixture.all(Send.class).forEach(s -> seen.add(s.worker()));
+    fixture.all(Send.class).forEach(send -> seen.add(send.worker()));
     for (int id = 31; id <= 60; id++) {
       fixture.event(
           new CallArrival(
@@ -188,7 +199,7 @@
               false,
               500 * MILLISECOND));
       assertTrue(fixture.sends(id).isEmpty() || seen.contains(fixture.sends(id).get(0).worker()));
-      fixture.sends(id).forEach(s -> fixture.outcome(s, 0, OutcomeCode.OK, 40));
+      fixture.sends(id).forEach(send -> fixture.outcome(send, 0, OutcomeCode.OK, 40));
       fixture.event(
           new CallArrival(
               1000 + id,
@@ -207,110 +218,108 @@
     }
   }
 
-  /** Sends to workers 100 and up, by worker, since the counts in {@code before}. */
-  private static int toNew(List<DispatcherFixture> fronts) {
-    return fronts.stream()
+  /** Counts the attempts at the workers 100 and up. */
+  private static int attemptsAtNewWorkers(List<DispatcherFixture> frontEnds) {
+    return frontEnds.stream()
         .mapToInt(
             fixture ->
-                (int) fixture.all(Send.class).stream().filter(s -> s.worker() >= 100).count())
+                (int) fixture.all(Send.class).stream().filter(send -> send.worker() >= 100).count())
         .sum();
   }
 
   /**
-   * Within a moment many workers give way to cold ones: what the few that stay now do is no measure
-   * of what a worker bears.
+   * When many workers are replaced by cold ones at once, the load of the few that stay does not
+   * show what a worker can handle.
    */
   @ParameterizedTest
   @CsvSource({"10", "30", "38", "40"})
   void aFleetThatIsReplacedAtOnceSparesItsColdWorkers(int replaced) {
-    List<DispatcherFixture> fronts = fronts();
-    for (int t = 0; t < 6; t++) {
-      second(fronts, 3 * t, 240);
+    List<DispatcherFixture> frontEnds = newFrontEnds();
+    for (int second = 0; second < 6; second++) {
+      runSecond(frontEnds, 3 * second, 240);
     }
-    for (DispatcherFixture fixture : fronts) {
-      List<WorkerEntry> news = new ArrayList<>();
+    for (DispatcherFixture fixture : frontEnds) {
+      List<WorkerEntry> changes = new ArrayList<>();
       for (int id = 1; id <= replaced; id++) {
-        news.add(DispatcherFixture.entry(id, WorkerState.DRAINING, 0));
-        news.add(DispatcherFixture.entry(100 + id, WorkerState.READY, fixture.now));
+        changes.add(DispatcherFixture.entry(id, WorkerState.DRAINING, 0));
+        changes.add(DispatcherFixture.entry(100 + id, WorkerState.READY, fixture.now));
       }
-      fixture.event(new WorkerListUpdate(ListKind.DELTA, news));
+      fixture.event(new WorkerListUpdate(ListKind.DELTA, changes));
     }
-    StringBuilder seen = new StringBuilder();
-    boolean kept = true;
+    StringBuilder report = new StringBuilder();
+    boolean withinLimit = true;
     int sent = 0;
-    for (int t = 6; t < 18; t += 2) { // the rule's span is 2 s
-      second(fronts, 3 * t, 240);
-      second(fronts, 3 * t + 3, 240);
-      int sum = toNew(fronts);
-      double grown = 0.15 + 0.85 * (t + 1 - 6) / 15;
-      double n = 3 * grown * 9 * 2;
-      seen.append(String.format(" %.1f of %.1f", (sum - sent) / (double) replaced, n));
-      kept &= (sum - sent) / (double) replaced <= n;
-      sent = sum;
+    // The overload window is 2 s.
+    for (int second = 6; second < 18; second += 2) {
+      runSecond(frontEnds, 3 * second, 240);
+      runSecond(frontEnds, 3 * second + 3, 240);
+      int total = attemptsAtNewWorkers(frontEnds);
+      double warmUpFraction = 0.15 + 0.85 * (second + 1 - 6) / 15;
+      double limit = 3 * warmUpFraction * 9 * 2;
+      report.append(String.format(" %.1f of %.1f", (total - sent) / (double) replaced, limit));
+      withinLimit &= (total - sent) / (double) replaced <= limit;
+      sent = total;
     }
-    assertTrue(kept, "calls for each cold worker in 2 s:" + seen);
+    assertTrue(withinLimit, "calls for each cold worker in 2 s:" + report);
     assertTrue(sent > 0, "cold workers were never used");
   }
 
   /**
-   * Cold workers that were hardly needed so far get all calls at once: what each front end may send
-   * adds up.
+   * When all calls go at once to a cold worker that was hardly used before, the sum over the front
+   * ends stays within its limit.
    */
   @Test
-  void aRushToOneColdWorkerStaysWithinWhatItBears() {
-    List<DispatcherFixture> fronts = fronts();
-    for (int t = 0; t < 6; t++) {
-      second(fronts, 3 * t, 240);
+  void aLoadPeakAtOneColdWorkerStaysWithinItsLimit() {
+    List<DispatcherFixture> frontEnds = newFrontEnds();
+    for (int second = 0; second < 6; second++) {
+      runSecond(frontEnds, 3 * second, 240);
     }
-    for (DispatcherFixture fixture : fronts) {
+    for (DispatcherFixture fixture : frontEnds) {
       fixture.event(
           new WorkerListUpdate(
               ListKind.DELTA,
               List.of(DispatcherFixture.entry(100, WorkerState.READY, fixture.now))));
     }
-    for (int t = 6; t < 10; t++) {
-      second(fronts, 3 * t, 240);
+    for (int second = 6; second < 10; second++) {
+      runSecond(frontEnds, 3 * second, 240);
     }
-    int before = toNew(fronts);
-    for (DispatcherFixture fixture : fronts) {
+    int before = attemptsAtNewWorkers(frontEnds);
+    for (DispatcherFixture fixture : frontEnds) {
       List<WorkerEntry> gone = new ArrayList<>();
       for (int id = 1; id <= WORKERS; id++) {
         gone.add(DispatcherFixture.entry(id, WorkerState.DRAINING, 0));
       }
       fixture.event(new WorkerListUpdate(ListKind.DELTA, gone));
     }
-    second(fronts, 30, 240);
-    second(fronts, 33, 240);
-    double grown = 0.15 + 0.85 * 5 / 15;
-    double n = 3 * grown * 9 * 2;
-    int rush = toNew(fronts) - before;
-    assertTrue(rush <= n + 2 * Math.sqrt(n) + 2, "sent " + rush + " of " + n);
+    runSecond(frontEnds, 30, 240);
+    runSecond(frontEnds, 33, 240);
+    double warmUpFraction = 0.15 + 0.85 * 5 / 15;
+    double limit = 3 * warmUpFraction * 9 * 2;
+    int sent = attemptsAtNewWorkers(frontEnds) - before;
+    assertTrue(sent <= limit + 2 * Math.sqrt(limit) + 2, "sent " + sent + " of " + limit);
   }
 
   /**
-   * Front ends that start among cold workers alone have seen nothing served; the quotas tell what a
-   * worker bears.
+   * Front ends that start with cold workers only have no served calls to measure; the quotas show
+   * what a worker can handle.
    */
   @Test
-  void aStartAmongColdWorkersServesWithinWhatTheyBear() {
-    List<DispatcherFixture> fronts = new ArrayList<>();
-    for (int i = 0; i < FRONTS; i++) {
-      DispatcherFixture fixture = new DispatcherFixture(settings(FRONTS), i);
+  void aStartWithColdWorkersOnlyStaysWithinTheirLimit() {
+    List<DispatcherFixture> frontEnds = new ArrayList<>();
+    for (int i = 0; i < FRONT_ENDS; i++) {
+      DispatcherFixture fixture = new DispatcherFixture(settings(FRONT_ENDS), i);
       List<WorkerEntry> cold = new ArrayList<>();
       for (int id = 101; id <= 100 + WORKERS; id++) {
         cold.add(DispatcherFixture.entry(id, WorkerState.READY, fixture.now - 5 * SECOND));
       }
-      fronts.add(fixture.event(new WorkerListUpdate(ListKind.FULL, cold)));
+      frontEnds.add(fixture.event(new WorkerListUpdate(ListKind.FULL, cold)));
     }
-    for (int t = 0; t < 2; t++) {
-      second(fronts, 3 * t, 240);
+    for (int second = 0; second < 2; second++) {
+      runSecond(frontEnds, 3 * second, 240);
     }
-    double each = toNew(fronts) / (double) WORKERS;
-    double n =
-        3
-            * (0.15 + 0.85 * 6 / 15)
-            * 7
-            * 2; // quotas of 400 calls a second, of which seven in ten are used
-    assertTrue(each > 1 && each <= n, "calls for each in 2 s: " + each + " of " + n);
+    double each = attemptsAtNewWorkers(frontEnds) / (double) WORKERS;
+    // The quotas are 400 calls per second, of which 70% are assumed to be used.
+    double limit = 3 * (0.15 + 0.85 * 6 / 15) * 7 * 2;
+    assertTrue(each > 1 && each <= limit, "calls for each in 2 s: " + each + " of " + limit);
   }
 }
