--- a/src/test/java/saddlestall/DispatcherFixture.java
+++ b/src/test/java/saddlestall/DispatcherFixture.java
@@ -4,32 +4,40 @@
 import java.util.List;
 import saddlestall.Dispatcher.*;
 
-/** Builds settings and events for tests, and keeps the actions of one instance. */
+/** Drives one dispatcher on a simulated clock and collects its actions. */
 final class DispatcherFixture {
-  static final long MS = 1_000;
+  static final long MILLISECOND = 1_000;
   static final long SECOND = 1_000_000;
-  static final int SAFE = 0;
-  static final int UNSAFE = 1;
-  static final int KEYED = 2;
+  static final int IDEMPOTENT_CLASS = 0;
+  static final int NOT_IDEMPOTENT_CLASS = 1;
+  static final int DEDUPLICATED_CLASS = 2;
 
   final List<Action> actions = new ArrayList<>();
-  final AdaptiveDispatcher choice;
+  final AdaptiveDispatcher dispatcher;
   long now;
 
   DispatcherFixture(Settings settings, long seed) {
     now = 100 * SECOND;
-    choice = new AdaptiveDispatcher(settings, seed, now, actions::add);
+    dispatcher = new AdaptiveDispatcher(settings, seed, now, actions::add);
   }
 
-  static Settings settings(boolean orders, DedupScope group) {
+  static Settings settings(boolean mayPreload, DedupScope dedupScope) {
     List<CallClass> classes =
         List.of(
             new CallClass(
-                600 * MS, 0, 2500 * MS, Idempotency.IDEMPOTENT, DedupScope.ALL, 0, 1, 0.2, false),
+                600 * MILLISECOND,
+                0,
+                2500 * MILLISECOND,
+                Idempotency.IDEMPOTENT,
+                DedupScope.ALL,
+                0,
+                1,
+                0.2,
+                false),
             new CallClass(
-                600 * MS,
+                600 * MILLISECOND,
                 0,
-                2500 * MS,
+                2500 * MILLISECOND,
                 Idempotency.NOT_IDEMPOTENT,
                 DedupScope.ALL,
                 0,
@@ -37,11 +45,19 @@
                 0.2,
                 false),
             new CallClass(
-                600 * MS, 0, 2500 * MS, Idempotency.DEDUPLICATED, group, SECOND, 2, 0.2, false));
-    return settings(classes, orders);
+                600 * MILLISECOND,
+                0,
+                2500 * MILLISECOND,
+                Idempotency.DEDUPLICATED,
+                dedupScope,
+                SECOND,
+                2,
+                0.2,
+                false));
+    return settings(classes, mayPreload);
   }
 
-  static Settings settings(List<CallClass> classes, boolean orders) {
+  static Settings settings(List<CallClass> classes, boolean mayPreload) {
     return new Settings(
         0,
         2,
@@ -53,65 +69,78 @@
         false,
         WeightKind.SILENT,
         List.of(),
-        new Limits(true, true, true, false, true, 500 * MS, 4, 250 * MS),
-        new Rules(16 * MS, 10 * SECOND, 250 * MS, 15 * SECOND, 0.15, 2 * SECOND, 3),
-        new LoadPolicy(true, orders, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
+        new Limits(true, true, true, false, true, 500 * MILLISECOND, 4, 250 * MILLISECOND),
+        new Rules(
+            16 * MILLISECOND, 10 * SECOND, 250 * MILLISECOND, 15 * SECOND, 0.15, 2 * SECOND, 3),
+        new LoadPolicy(true, mayPreload, 5 * SECOND, 2, 0.15, 10 * SECOND, true, true, 0.1),
         new LoadReportFormat(
             ReportDelivery.PROBES, List.of(ReportField.UTILIZATION, ReportField.QUEUE)),
         new Costs(0, 0, 0, 0, 0, 0));
   }
 
-  static WorkerEntry member(int id, WorkerState state, long cameUp) {
-    return new WorkerEntry(id, id % 3, 0, id % 2, state, 1, cameUp);
+  static WorkerEntry entry(int id, WorkerState state, long startedAt) {
+    return new WorkerEntry(id, id % 3, 0, id % 2, state, 1, startedAt);
   }
 
-  /** Gives the whole list: workers 1 to n, long up. */
-  DispatcherFixture list(int n) {
-    List<WorkerEntry> members = new ArrayList<>();
-    for (int id = 1; id <= n; id++) {
-      members.add(member(id, WorkerState.READY, 0));
+  /** Sends a complete worker list with the workers 1 to {@code count}, all warm. */
+  DispatcherFixture listWorkers(int count) {
+    List<WorkerEntry> entries = new ArrayList<>();
+    for (int id = 1; id <= count; id++) {
+      entries.add(entry(id, WorkerState.READY, 0));
     }
-    return event(new WorkerListUpdate(ListKind.FULL, members));
+    return event(new WorkerListUpdate(ListKind.FULL, entries));
   }
 
   DispatcherFixture event(Event event) {
-    choice.handle(now, event, actions::add);
+    dispatcher.handle(now, event, actions::add);
     return this;
   }
 
-  void recall(java.util.function.Consumer<Dispatcher.Observation> facts) {
-    choice.exportObservations(now, facts);
+  void exportObservations(java.util.function.Consumer<Dispatcher.Observation> observations) {
+    dispatcher.exportObservations(now, observations);
   }
 
-  DispatcherFixture at(long millis) {
-    now += millis * MS;
+  /** Advances the clock without an event. */
+  DispatcherFixture advance(long millis) {
+    now += millis * MILLISECOND;
     return this;
   }
 
-  /** Lets time pass in ticks. */
-  DispatcherFixture pass(long millis) {
+  /** Advances the clock in ticks of 50 ms. */
+  DispatcherFixture advanceInTicks(long millis) {
     for (long t = 0; t < millis; t += 50) {
-      at(50).event(new TimerFired(-1));
+      advance(50).event(new TimerFired(-1));
     }
     return this;
   }
 
   DispatcherFixture call(int id, int callClass, long function) {
     return event(
-        new CallArrival(id, 2500 * MS, 0, function, 2, 300, callClass, 0, false, false, 500 * MS));
-  }
-
-  DispatcherFixture outcome(Send send, int attempt, OutcomeCode code, long tookMillis) {
-    CopyStatus note = code == OutcomeCode.OK ? CopyStatus.WARM : CopyStatus.NONE;
+        new CallArrival(
+            id,
+            2500 * MILLISECOND,
+            0,
+            function,
+            2,
+            300,
+            callClass,
+            0,
+            false,
+            false,
+            500 * MILLISECOND));
+  }
+
+  DispatcherFixture outcome(Send send, int attempt, OutcomeCode code, long elapsedMillis) {
+    CopyStatus copyStatus = code == OutcomeCode.OK ? CopyStatus.WARM : CopyStatus.NONE;
     return event(
         new AttemptOutcome(
             send.call(),
             attempt,
             send.worker(),
             code,
-            tookMillis * MS,
+            elapsedMillis * MILLISECOND,
             code == OutcomeCode.OK,
-            note,
+            copyStatus,
             code == OutcomeCode.OK ? 0 : -1,
             null));
   }
