--- a/src/main/java/umberrun/fleet/About.java
+++ b/src/main/java/umberrun/fleet/About.java
@@ -1,26 +1,28 @@
 package umberrun.fleet;
 
 /**
- * What a member says of itself. Addresses have the form host:port and are empty where there is
- * none.
+ * The metadata that a member publishes about itself. Addresses have the form host:port and are
+ * empty where the member has none.
  *
- * @param address where it hears others of its fleet
- * @param learning where it tells what it knows of workers
- * @param door where operators call it
- * @param traffic calls a second that it took lately
- * @param informed whether it has heard of all that may live: it has run for longer than any cut
- *     lasts, or has had a full exchange with one that had heard of all
+ * @param hall the hall in which it runs
+ * @param address where it listens for other members of its fleet
+ * @param factAddress where it serves its facts about workers to other members
+ * @param operatorAddress where it serves operators
+ * @param release the release that it runs, as configured
+ * @param traffic calls per second that it accepted recently
+ * @param informed whether it knows of every member that may be alive: it has run for longer than
+ *     any network partition lasts, or has completed a full exchange with an informed member
  */
 public record About(
     String hall,
     String address,
     State state,
-    String learning,
-    String door,
+    String factAddress,
+    String operatorAddress,
     String release,
     int traffic,
     boolean informed) {
-  /** How far a member is with serving clients. */
+  /** The stage of a member's service to clients. The order of the constants is the wire code. */
   public enum State {
     STARTING,
     SERVING,
@@ -28,9 +30,10 @@
     LEAVING
   }
 
-  About informed(boolean is) {
-    return is == informed
+  About withInformed(boolean newInformed) {
+    return newInformed == informed
         ? this
-        : new About(hall, address, state, learning, door, release, traffic, is);
+        : new About(
+            hall, address, state, factAddress, operatorAddress, release, traffic, newInformed);
   }
 }
--- a/src/main/java/umberrun/fleet/Claim.java
+++ b/src/main/java/umberrun/fleet/Claim.java
@@ -1,18 +1,20 @@
 package umberrun.fleet;
 
 /**
- * What is told of one member. Claims of one name are in a total order, of which a view keeps the
- * greatest.
+ * A statement about one member, spread by gossip. Claims about the same name are totally ordered by
+ * generation, incarnation and status; a view keeps the greatest.
  *
- * @param about what the member says of itself; null in an accusation, which names nothing but whom
- *     it accuses
- * @param accuser who suspects it, or held it dead first; else empty
- * @param age for how long it has been dead or has left, in microseconds; a duration, and no part of
- *     the order
+ * @param generation the process of the member that the claim is about
+ * @param incarnation a counter that only the member itself increases, to refute an accusation or to
+ *     publish new metadata
+ * @param about the member's metadata; null in an accusation, which identifies the accused member
+ *     only
+ * @param accuser the member that suspects it or first declared it dead; empty otherwise
+ * @param age for how long it has been dead or has left, in microseconds; not part of the order
  */
 public record Claim(
     String name,
-    ProcessGeneration life,
+    ProcessGeneration generation,
     long incarnation,
     Status status,
     About about,
@@ -20,7 +22,10 @@
     long age)
     implements Comparable<Claim> {
 
-  /** In the order in which claims of one incarnation win. */
+  /**
+   * The member's status. Of two claims about one incarnation, the one with the later status wins.
+   * The order of the constants is also the wire code.
+   */
   public enum Status {
     ALIVE,
     SUSPECT,
@@ -28,54 +33,63 @@
     LEFT
   }
 
+  /** Bytes of the numbers and of the headers of a claim, without its texts. */
+  private static final int FIXED_BYTES = 42;
+
+  /** Bytes of the numbers and of the headers of the metadata, without its texts. */
+  private static final int FIXED_ABOUT_BYTES = 18;
+
   @Override
-  public int compareTo(Claim o) {
-    int byLife = life.compareTo(o.life);
-    if (byLife != 0) {
-      return byLife;
+  public int compareTo(Claim other) {
+    int byGeneration = generation.compareTo(other.generation);
+    if (byGeneration != 0) {
+      return byGeneration;
     }
-    return incarnation != o.incarnation
-        ? Long.compare(incarnation, o.incarnation)
-        : status.compareTo(o.status);
+    return incarnation != other.incarnation
+        ? Long.compare(incarnation, other.incarnation)
+        : status.compareTo(other.status);
   }
 
-  /** Whether the member takes part, as far as this claim goes. */
+  /** Whether this claim states that the member is alive or only suspected. */
   public boolean isLiving() {
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
 
-  Claim with(Status other, String by) {
-    return new Claim(name, life, incarnation, other, about, by, 0);
+  Claim withStatus(Status newStatus, String newAccuser) {
+    return new Claim(name, generation, incarnation, newStatus, about, newAccuser, 0);
   }
 
-  Claim with(About other) {
-    return new Claim(name, life, incarnation, status, other, accuser, age);
+  Claim withAbout(About newAbout) {
+    return new Claim(name, generation, incarnation, status, newAbout, accuser, age);
   }
 
-  Claim aged(long by) {
-    return new Claim(name, life, incarnation, status, about, accuser, by);
+  Claim withAge(long newAge) {
+    return new Claim(name, generation, incarnation, status, about, accuser, newAge);
   }
 
   /**
-   * How many bytes it takes in a datagram, where its names are plain letters; those of others take
-   * more.
+   * Estimates the bytes that this claim takes in a datagram. Texts are counted as ASCII; other
+   * characters take more.
    */
-  int weight() {
-    return 42
+  int estimatedBytes() {
+    return FIXED_BYTES
         + name.length()
         + accuser.length()
         + (about == null
             ? 0
-            : 18
+            : FIXED_ABOUT_BYTES
                 + about.hall().length()
                 + about.address().length()
-                + about.learning().length()
-                + about.door().length()
+                + about.factAddress().length()
+                + about.operatorAddress().length()
                 + about.release().length());
   }
 
-  /** The same without what the member says of itself: a quarter of the bytes. */
-  Claim bare() {
-    return status == Status.ALIVE ? this : with((About) null);
+  /**
+   * Returns this claim without metadata, which takes a quarter of the bytes; a claim with status
+   * ALIVE keeps its metadata.
+   */
+  Claim compact() {
+    return status == Status.ALIVE ? this : withAbout(null);
   }
 }
--- a/src/main/java/umberrun/fleet/FleetShare.java
+++ b/src/main/java/umberrun/fleet/FleetShare.java
@@ -1,73 +1,85 @@
 package umberrun.fleet;
 
 import java.util.Collection;
-import umberrun.fleet.Claim.Status;
 
 /**
- * By how much each front end divides what belongs to all of them, so that all parts together never
- * come to more than the whole, whoever can see whom. The argument and its window are in {@code
- * docs/fleet-view.md}.
+ * Computes the number by which each front end divides the resources that the fleet shares. The
+ * shares of all front ends must never add up to more than the whole, even during a network
+ * partition, so a dead member counts for as long as it may be alive on the other side of one.
  */
 final class FleetShare {
-  /** A newcomer of whom not everybody has heard takes this part of its share. */
-  private static final double UNSETTLED = 4;
+  /** A newcomer multiplies its divisor by this until every member has heard of it. */
+  private static final double NEWCOMER_DIVISOR_FACTOR = 4;
 
   private FleetShare() {}
 
-  /** Whether a dead member may yet live on the other side of a cut. */
-  private static boolean mayLive(MembershipSettings s, Peer p, long now) {
-    long dead = now - p.since;
-    return p.claim.status() == Status.DEAD
-        && dead < s.deadRetention()
-        && !(p.refused && dead >= s.deadConfirmation());
+  /** Whether a member that is held dead may be alive on the other side of a partition. */
+  private static boolean mayBeAlive(MembershipSettings settings, Peer peer, long now) {
+    long deadFor = now - peer.statusSince;
+    return peer.claim.status() == Claim.Status.DEAD
+        && deadFor < settings.deadRetention()
+        && !(peer.connectionRefused && deadFor >= settings.deadConfirmation());
   }
 
-  /** How many are dead that may yet live. */
-  static int missing(MembershipSettings s, Collection<Peer> peers, long now) {
+  /** Counts the members that are held dead and may be alive. */
+  static int countMissing(MembershipSettings settings, Collection<Peer> peers, long now) {
     int missing = 0;
-    for (Peer p : peers) {
-      missing += mayLive(s, p, now) ? 1 : 0;
+    for (Peer peer : peers) {
+      missing += mayBeAlive(settings, peer, now) ? 1 : 0;
     }
     return missing;
   }
 
   /**
-   * What a front end knows of itself.
+   * What a front end knows about itself. Times are in microseconds of its own steady clock.
    *
-   * @param metAt when it first met another, 0 for never
-   * @param known whether others had counted its name before it began
-   * @param late whether it came while others were missing
-   * @param informed whether it has heard of all that may live
+   * @param firstContactAt when it first met another member, 0 for never
+   * @param previouslyKnown whether others had counted its name before it started
+   * @param joinedDuringPartition whether it joined while other members were missing
+   * @param informed whether it knows of every member that may be alive
    */
-  record Own(long startedAt, long metAt, boolean known, boolean late, boolean informed) {}
+  record LocalState(
+      long startedAt,
+      long firstContactAt,
+      boolean previouslyKnown,
+      boolean joinedDuringPartition,
+      boolean informed) {}
 
-  /** How many front ends are counted. */
-  static double count(MembershipSettings s, Collection<Peer> peers, long now, Own own) {
+  /** Counts the front ends, this one and those that may be alive included. */
+  static double count(
+      MembershipSettings settings, Collection<Peer> peers, long now, LocalState local) {
     int counted = 1;
-    for (Peer p : peers) {
-      counted += p.claim.isLiving() || mayLive(s, p, now) ? 1 : 0;
+    for (Peer peer : peers) {
+      counted += peer.claim.isLiving() || mayBeAlive(settings, peer, now) ? 1 : 0;
     }
-    return own.informed ? counted : Math.max(counted, s.frontEndCount());
+    return local.informed ? counted : Math.max(counted, settings.frontEndCount());
   }
 
-  /** By how much this one divides. */
-  static double divisor(MembershipSettings s, Collection<Peer> peers, long now, Own own) {
+  /** Returns the number by which this front end divides what all of them share. */
+  static double divisor(
+      MembershipSettings settings, Collection<Peer> peers, long now, LocalState local) {
     int living = 1;
     int missing = 0;
-    int lateOnes = own.late ? 1 : 0;
-    for (Peer p : peers) {
-      living += p.claim.isLiving() ? 1 : 0;
-      lateOnes += p.claim.isLiving() && p.late ? 1 : 0;
-      missing += mayLive(s, p, now) ? 1 : 0;
+    int lateJoiners = local.joinedDuringPartition ? 1 : 0;
+    for (Peer peer : peers) {
+      living += peer.claim.isLiving() ? 1 : 0;
+      lateJoiners += peer.claim.isLiving() && peer.joinedDuringPartition ? 1 : 0;
+      missing += mayBeAlive(settings, peer, now) ? 1 : 0;
     }
     double counted = living + missing;
-    if (missing > 0 && lateOnes > 0) {
-      double base = Math.max(1, counted - lateOnes);
-      counted = Math.max(counted, living * base / Math.max(1, base - missing));
+    // The other side of the partition does not count those that joined on this side: they share
+    // what the earlier members of this side had.
+    if (missing > 0 && lateJoiners > 0) {
+      double earlierMembers = Math.max(1, counted - lateJoiners);
+      counted = Math.max(counted, living * earlierMembers / Math.max(1, earlierMembers - missing));
     }
-    double share = own.informed ? counted : Math.max(counted, s.frontEndCount());
-    boolean alone = s.seeds().isEmpty() && own.metAt == 0;
-    boolean settles = now - (own.metAt == 0 ? own.startedAt : own.metAt) < s.propagationTime();
-    return settles && !own.known && !alone ? UNSETTLED * share : share;
+    double divisor = local.informed ? counted : Math.max(counted, settings.frontEndCount());
+    boolean alone = settings.seeds().isEmpty() && local.firstContactAt == 0;
+    boolean propagating =
+        now - (local.firstContactAt == 0 ? local.startedAt : local.firstContactAt)
+            < settings.propagationTime();
+    return propagating && !local.previouslyKnown && !alone
+        ? NEWCOMER_DIVISOR_FACTOR * divisor
+        : divisor;
   }
 }
--- a/src/main/java/umberrun/fleet/GossipMessage.java
+++ b/src/main/java/umberrun/fleet/GossipMessage.java
@@ -3,28 +3,29 @@
 import java.util.List;
 
 /**
- * One datagram.
+ * A datagram of the membership protocol.
  *
- * @param seq names a probe; an answer has that of what it answers
- * @param target the name that is probed
- * @param address where the target is, in a request to probe for somebody else
- * @param from the sender, by its own word
+ * @param seq the sequence number of a probe; a response repeats it
+ * @param target the name of the probed member
+ * @param targetAddress the address of the target in a {@link Kind#PING_REQUEST}; empty otherwise
+ * @param sender the sender's claim about itself
+ * @param gossip claims piggybacked on the message
  */
 public record GossipMessage(
-    Kind kind, long seq, String target, String address, Claim from, List<Claim> news) {
-  /** What a datagram wants. */
+    Kind kind, long seq, String target, String targetAddress, Claim sender, List<Claim> gossip) {
+  /** The purpose of a message. The order of the constants is the wire code. */
   public enum Kind {
-    /** Are you there? */
+    /** Probes the target. */
     PING,
-    /** I am. */
+    /** The probed member is alive. */
     ACK,
-    /** Whoever it is that you look for, it is not here. */
-    STRANGER,
-    /** Probe somebody for me. */
-    ASK,
-    /** I had no answer either. */
+    /** The receiver of a ping is not its target. */
+    NOT_HERE,
+    /** Asks the receiver to probe the target on behalf of the sender. */
+    PING_REQUEST,
+    /** The receiver of a ping request had no response from the target in time. */
     NACK,
-    /** Your name is mine too. */
-    CLASH
+    /** The sender has the same name as the receiver. */
+    NAME_CONFLICT
   }
 }
--- a/src/main/java/umberrun/fleet/GossipQueue.java
+++ b/src/main/java/umberrun/fleet/GossipQueue.java
@@ -7,65 +7,70 @@
 import java.util.Map;
 
 /**
- * Claims that are passed on, each so many times; what was told least goes first. One for each name,
- * so it is bounded.
+ * Claims that wait to be piggybacked on messages. Each is transmitted a limited number of times;
+ * those transmitted least often go first. There is at most one claim for each member name, which
+ * bounds the queue.
  */
 final class GossipQueue {
-  private static final double TIMES = 4;
+  /** Transmissions of a claim for each factor of ten in the number of members. */
+  private static final double RETRANSMIT_FACTOR = 4;
 
-  /** By how often they were told. */
-  private final List<LinkedHashMap<String, Claim>> told = new ArrayList<>();
+  /** The claims by the number of times that they were transmitted. */
+  private final List<LinkedHashMap<String, Claim>> byTransmissions = new ArrayList<>();
 
-  private final Map<String, Integer> place = new HashMap<>();
+  private final Map<String, Integer> transmissions = new HashMap<>();
 
-  /** In the place of what was passed on of the same member before. */
-  void add(Claim c) {
-    drop(c.name());
-    put(0, c);
+  /** Adds a claim; it replaces any other claim about the same member. */
+  void add(Claim claim) {
+    remove(claim.name());
+    put(0, claim);
   }
 
-  void drop(String name) {
-    Integer at = place.remove(name);
-    if (at != null) {
-      told.get(at).remove(name);
+  void remove(String name) {
+    Integer count = transmissions.remove(name);
+    if (count != null) {
+      byTransmissions.get(count).remove(name);
     }
   }
 
-  private void put(int times, Claim c) {
-    while (told.size() <= times) {
-      told.add(new LinkedHashMap<>());
+  private void put(int count, Claim claim) {
+    while (byTransmissions.size() <= count) {
+      byTransmissions.add(new LinkedHashMap<>());
     }
-    told.get(times).put(c.name(), c);
-    place.put(c.name(), times);
+    byTransmissions.get(count).put(claim.name(), claim);
+    transmissions.put(claim.name(), count);
   }
 
   /**
-   * Takes claims of so many bytes at the most to be told once more, among {@code living} members.
+   * Selects claims for one message and counts a transmission of each.
+   *
+   * @param maxBytes the room in the message
+   * @param members the number of living members, from which the limit of transmissions follows
    */
-  List<Claim> take(int bytes, int living) {
-    int times = (int) Math.ceil(TIMES * Math.log10(living + 1));
+  List<Claim> take(int maxBytes, int members) {
+    int maxTransmissions = (int) Math.ceil(RETRANSMIT_FACTOR * Math.log10(members + 1));
     List<Claim> taken = new ArrayList<>();
-    int left = bytes;
-    for (Map<String, Claim> rank : told) {
-      for (Claim c : rank.values()) {
-        left -= c.weight();
-        if (left < 0) {
+    int remainingBytes = maxBytes;
+    for (Map<String, Claim> claims : byTransmissions) {
+      for (Claim claim : claims.values()) {
+        remainingBytes -= claim.estimatedBytes();
+        if (remainingBytes < 0) {
           break;
         }
-        taken.add(c);
+        taken.add(claim);
       }
     }
-    for (Claim c : taken) {
-      int next = place.get(c.name()) + 1;
-      drop(c.name());
-      if (next < times) {
-        put(next, c);
+    for (Claim claim : taken) {
+      int count = transmissions.get(claim.name()) + 1;
+      remove(claim.name());
+      if (count < maxTransmissions) {
+        put(count, claim);
       }
     }
     return taken;
   }
 
   int size() {
-    return place.size();
+    return transmissions.size();
   }
 }
--- a/src/main/java/umberrun/fleet/LocalHealth.java
+++ b/src/main/java/umberrun/fleet/LocalHealth.java
@@ -1,19 +1,19 @@
 package umberrun.fleet;
 
 /**
- * How far this member doubts itself, from 0 (well) to 8: it then waits longer before it accuses
- * (Lifeguard, section IV-A).
+ * The local health multiplier of Lifeguard (section IV-A): a score from 0 (healthy) to 8. The
+ * higher it is, the longer this member waits before it accuses another.
  */
 final class LocalHealth {
-  private static final int MOST = 8;
+  private static final int MAX_SCORE = 8;
 
   private int score;
 
-  void worse(int by) {
-    score = Math.min(MOST, score + by);
+  void degrade(int by) {
+    score = Math.min(MAX_SCORE, score + by);
   }
 
-  void better() {
+  void improve() {
     score = Math.max(0, score - 1);
   }
 
@@ -21,7 +21,8 @@
     return score;
   }
 
-  long stretch(long time) {
-    return time * (score + 1);
+  /** Scales a duration by the score. */
+  long scale(long duration) {
+    return duration * (score + 1);
   }
 }
--- a/src/main/java/umberrun/fleet/Membership.java
+++ b/src/main/java/umberrun/fleet/Membership.java
@@ -13,51 +13,58 @@
 import umberrun.fleet.MembershipChange.Kind;
 
 /**
- * One member's view of its fleet, and what it does to keep it: SWIM with Lifeguard, see {@code
- * docs/fleet-view.md}. Free of I/O, threads and clocks: times are handed in, in microseconds of a
- * steady clock, and what is to be done goes to the {@link MembershipOutbox}. The same calls with
- * the same seed lead to the same view.
+ * One member's view of its fleet and the protocol that maintains it: SWIM with the Lifeguard
+ * extensions. It uses no I/O, threads or clocks: the caller passes in the time, in microseconds of
+ * a steady clock, and carries out the actions sent to the {@link MembershipOutbox}. The same calls
+ * with the same random seed lead to the same view.
  */
 public class Membership {
-  /** Claims in a datagram beside the sender's own, in bytes; the rest of 1,400 is for the head. */
-  private static final int NEWS_BYTES = 1_000;
-
-  private static final int HELPERS = 3;
+  /**
+   * Room for piggybacked claims in a datagram; the rest of its 1,400 bytes holds the header and the
+   * sender's own claim.
+   */
+  private static final int MAX_GOSSIP_BYTES = 1_000;
 
   /**
-   * Probes for others that wait for an answer; beyond that, one who asks hears nothing and asks
-   * another next time.
+   * How many members are contacted at once to probe a target indirectly, to announce a departure or
+   * to join a fleet.
    */
-  private static final int MOST_FORWARDS = 256;
+  private static final int FANOUT = 3;
 
   /**
-   * A wait that ends later than this part of the time-out says more of this member than of the one
-   * it waited for.
+   * The most probes forwarded for others at a time. A ping request beyond that is ignored; its
+   * sender asks another member next time.
    */
-  private static final int LATE_PART = 2;
+  private static final int MAX_FORWARDED_PROBES = 256;
 
   /**
-   * Members up to which a full exchange costs next to nothing, and how much sooner it comes while
-   * the view changes.
+   * A timer that fires later than the probe timeout divided by this shows that this member is slow,
+   * so an overdue response proves nothing about its sender.
    */
-  private static final double FEW = 500;
+  private static final int LATE_TIMEOUT_DIVISOR = 2;
 
-  private static final long HASTE = 5;
-  private static final long FIRST_JOIN = 200 * MembershipSettings.MS;
+  /** Up to this number of members a full exchange is cheap enough for the configured interval. */
+  private static final double MEMBERS_PER_EXCHANGE_INTERVAL = 500;
+
+  /** How much more frequent full exchanges are while the view changes. */
+  private static final long CHANGING_EXCHANGE_SPEEDUP = 5;
+
+  private static final long FIRST_JOIN_RETRY_MICROS = 200 * MembershipSettings.MS;
 
   /**
-   * Tries to find the dead again, for each of them and from all members, in one time between tries.
+   * How often each dead member is contacted in a reconnect interval, by all living members
+   * together.
    */
-  private static final double TRIES_EACH = 2;
+  private static final double RECONNECTS_PER_DEAD_MEMBER = 2;
 
-  /** A probe of this interval. */
+  /** The probe of the current interval. */
   private static final class Probe {
     final String target;
     final long seq;
     final long sentAt;
     boolean answered;
-    boolean asked;
-    int noes;
+    boolean indirect;
+    int nacks;
 
     Probe(String target, long seq, long sentAt) {
       this.target = target;
@@ -66,392 +73,431 @@
     }
   }
 
-  /** A probe for somebody else. */
-  private record Forward(long seq, String target, String address) {}
+  /**
+   * A probe on behalf of another member.
+   *
+   * @param seq the sequence number of the ping request
+   * @param requester the address that the response goes to
+   */
+  private record ForwardedProbe(long seq, String target, String requester) {}
 
   private final MembershipSettings settings;
   private final String name;
   private final RandomGenerator random;
-  private final MembershipOutbox out;
+  private final MembershipOutbox outbox;
   private final Map<String, Peer> peers = new HashMap<>();
-  private final GossipQueue news = new GossipQueue();
-  private final LocalHealth awareness = new LocalHealth();
-  private final List<String> ring = new ArrayList<>();
-  private final Map<Long, Forward> forwards = new HashMap<>();
-  private List<String> setSeeds;
+  private final GossipQueue gossipQueue = new GossipQueue();
+  private final LocalHealth localHealth = new LocalHealth();
+
+  /** The names of the living members in the order in which they are probed. */
+  private final List<String> probeOrder = new ArrayList<>();
+
+  private final Map<Long, ForwardedProbe> forwardedProbes = new HashMap<>();
+  private List<String> seeds;
   private Claim self;
-  private Probe probe;
-  private int next;
+
+  /** The probe of the current interval; null where there is none. */
+  private Probe currentProbe;
+
+  private int nextProbeIndex;
   private long nextSeq;
   private int livingCount;
-  private long joinWait = FIRST_JOIN;
+  private long joinRetryDelay = FIRST_JOIN_RETRY_MICROS;
+
+  /** Whether another process owns the name; this one then publishes nothing about itself. */
   private boolean yielded;
-  private boolean over;
-  private long changedAt = Long.MIN_VALUE / 2;
 
-  /**
-   * When it first met another member, 0 before; whether the fleet had known its name; whether
-   * others were missing then.
-   */
-  private long metAt;
+  private boolean stopped;
+  private long lastChangeAt = Long.MIN_VALUE / 2;
+
+  /** When it first met another member, 0 before. */
+  private long firstContactAt;
 
   private long startedAt;
-  private boolean known;
-  private boolean late;
 
+  /** Whether others had counted its name before it started. */
+  private boolean previouslyKnown;
+
+  /** Whether other members were missing when it first met one. */
+  private boolean joinedDuringPartition;
+
+  /**
+   * @param startId a random number that identifies this process
+   * @param about the metadata that this member publishes about itself
+   */
   public Membership(
       MembershipSettings settings,
       String name,
       long startId,
       About about,
       RandomGenerator random,
-      MembershipOutbox out) {
+      MembershipOutbox outbox) {
     this.settings = settings;
     this.name = name;
     this.random = random;
-    this.out = out;
-    this.setSeeds = settings.seeds();
+    this.outbox = outbox;
+    this.seeds = settings.seeds();
     this.self = new Claim(name, new ProcessGeneration(1, startId), 0, Status.ALIVE, about, "", 0);
-    this.nextSeq = random.nextLong() >>> 16; // guards against answers to a former life's probes
+    // A random start keeps responses to the probes of an earlier process from matching.
+    this.nextSeq = random.nextLong() >>> 16;
   }
 
-  // ---------------------------------------------------------------- what comes in
+  // ---------------------------------------------------------------- events
 
-  /** Begins to look for others. */
+  /** Starts the protocol and the search for other members. */
   public void start(long now) {
     startedAt = now;
-    out.startTimer(
+    outbox.startTimer(
         MembershipTimer.of(MembershipTimer.Kind.PROBE),
         now + (long) (random.nextDouble() * settings.interval()));
-    out.startTimer(
+    outbox.startTimer(
         MembershipTimer.of(MembershipTimer.Kind.EXCHANGE),
-        now + spread(settings.exchangeInterval() / HASTE));
-    out.startTimer(MembershipTimer.of(MembershipTimer.Kind.RECONNECT), now);
+        now + jitter(settings.exchangeInterval() / CHANGING_EXCHANGE_SPEEDUP));
+    outbox.startTimer(MembershipTimer.of(MembershipTimer.Kind.RECONNECT), now);
   }
 
-  /** Where others may be found, by a list from elsewhere. */
+  /** Replaces the addresses at which other members may be found. */
   public void setSeeds(List<String> addresses) {
-    setSeeds = List.copyOf(addresses);
+    seeds = List.copyOf(addresses);
   }
 
-  /** What this member says of itself has changed. */
+  /** Publishes the metadata of this member if it has changed; {@code informed} is ignored. */
   public void updateSelf(long now, About about) {
-    About mine = about.informed(self.about().informed());
-    if (!mine.equals(self.about()) && !over) {
-      say(mine);
+    About updated = about.withInformed(self.about().informed());
+    if (!updated.equals(self.about()) && !stopped) {
+      publish(updated);
     }
   }
 
-  private void say(About about) {
-    self = new Claim(name, self.life(), self.incarnation() + 1, Status.ALIVE, about, "", 0);
-    announce();
+  private void publish(About about) {
+    self = new Claim(name, self.generation(), self.incarnation() + 1, Status.ALIVE, about, "", 0);
+    gossipSelf();
   }
 
-  /** It has heard of all that may live. */
-  private void informed() {
+  /** Publishes that this member knows of every member that may be alive. */
+  private void markInformed() {
     if (!self.about().informed()) {
-      say(self.about().informed(true));
+      publish(self.about().withInformed(true));
     }
   }
 
-  /** Says good-bye, to as many as help with a probe. */
+  /** Announces the departure of this member to a few others and stops. */
   public void leave(long now) {
-    if (!over) {
-      self = self.with(Status.LEFT, "");
-      for (Peer p : some(HELPERS, "")) {
-        out.send(
-            p.claim.about().address(),
-            message(GossipMessage.Kind.PING, 0, p.claim.name(), "", null));
+    if (!stopped) {
+      self = self.withStatus(Status.LEFT, "");
+      for (Peer peer : randomPeers(FANOUT, "")) {
+        outbox.send(
+            peer.claim.about().address(),
+            newMessage(GossipMessage.Kind.PING, 0, peer.claim.name(), "", null));
       }
       stop();
     }
   }
 
-  /** Falls silent without a word: another process is this member from now on. */
+  /** Stops without an announcement, as another process takes over the name of this member. */
   public void stop() {
-    over = true;
+    stopped = true;
     for (MembershipTimer.Kind kind :
         List.of(
             MembershipTimer.Kind.PROBE,
-            MembershipTimer.Kind.DIRECT,
+            MembershipTimer.Kind.PROBE_TIMEOUT,
             MembershipTimer.Kind.EXCHANGE,
             MembershipTimer.Kind.RECONNECT)) {
-      out.cancelTimer(MembershipTimer.of(kind));
+      outbox.cancelTimer(MembershipTimer.of(kind));
     }
     peers.forEach(
-        (n, p) -> out.cancelTimer(new MembershipTimer(MembershipTimer.Kind.SUSPICION, n)));
-    forwards
+        (n, peer) -> outbox.cancelTimer(new MembershipTimer(MembershipTimer.Kind.SUSPICION, n)));
+    forwardedProbes
         .keySet()
         .forEach(
             seq ->
-                out.cancelTimer(
-                    new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(seq))));
+                outbox.cancelTimer(
+                    new MembershipTimer(MembershipTimer.Kind.FORWARDED_PROBE, Long.toString(seq))));
   }
 
-  /** A datagram of the same fleet came. */
-  public void receive(long now, GossipMessage m) {
-    if (over) {
+  /** Handles a message of the same fleet. */
+  public void receive(long now, GossipMessage message) {
+    if (stopped) {
       return;
     }
-    take(now, m.from(), false);
-    m.news().forEach(c -> take(now, c, false));
-    Peer sender = peers.get(m.from().name());
-    if (sender != null && sender.claim.life().equals(m.from().life())) {
-      sender.heardAt = now;
+    apply(now, message.sender(), false);
+    message.gossip().forEach(claim -> apply(now, claim, false));
+    Peer sender = peers.get(message.sender().name());
+    if (sender != null && sender.claim.generation().equals(message.sender().generation())) {
+      sender.lastHeardAt = now;
     }
-    String back = m.from().about().address();
-    switch (m.kind()) {
+    String replyAddress = message.sender().about().address();
+    switch (message.kind()) {
       case PING ->
-          out.send(
-              back,
-              m.target().equals(name) && !yielded
-                  ? message(
+          outbox.send(
+              replyAddress,
+              message.target().equals(name) && !yielded
+                  ? newMessage(
                       GossipMessage.Kind.ACK,
-                      m.seq(),
-                      m.from().name(),
+                      message.seq(),
+                      message.sender().name(),
                       "",
-                      unlike(sender, m.from()))
-                  : message(GossipMessage.Kind.STRANGER, m.seq(), m.target(), "", null));
-      case ACK -> answered(now, m);
-      case STRANGER -> stranger(now, m);
-      case ASK -> ask(now, m);
+                      disputedClaim(sender, message.sender()))
+                  : newMessage(
+                      GossipMessage.Kind.NOT_HERE, message.seq(), message.target(), "", null));
+      case ACK -> onAck(now, message);
+      case NOT_HERE -> onNotHere(now, message);
+      case PING_REQUEST -> onPingRequest(now, message);
       case NACK -> {
-        if (probe != null && probe.seq == m.seq()) {
-          probe.noes++;
+        if (currentProbe != null && currentProbe.seq == message.seq()) {
+          currentProbe.nacks++;
         }
       }
-      case CLASH -> {
-        if (m.from().name().equals(name) && m.from().life().startId() != self.life().startId()) {
-          changed(now, Kind.CLASH, m.from(), back);
+      case NAME_CONFLICT -> {
+        if (message.sender().name().equals(name)
+            && message.sender().generation().startId() != self.generation().startId()) {
+          reportChange(now, Kind.CLASH, message.sender(), replyAddress);
         }
       }
     }
   }
 
-  /** A wait is over, by {@code late} after its time. */
-  public void onTimer(long now, MembershipTimer t, long late) {
-    if (over) {
+  /**
+   * Handles a timer that fired.
+   *
+   * @param lateness how long after its due time it fired
+   */
+  public void onTimer(long now, MembershipTimer timer, long lateness) {
+    if (stopped) {
       return;
     }
-    switch (t.kind()) {
-      case PROBE -> probe(now, late);
-      case DIRECT -> askOthers(now);
-      case FORWARD -> {
-        Forward f = forwards.remove(Long.parseLong(t.subject()));
-        if (f != null) {
-          out.send(f.address, message(GossipMessage.Kind.NACK, f.seq, f.target, "", null));
+    switch (timer.kind()) {
+      case PROBE -> startProbe(now, lateness);
+      case PROBE_TIMEOUT -> probeIndirectly();
+      case FORWARDED_PROBE -> {
+        ForwardedProbe forwarded = forwardedProbes.remove(Long.parseLong(timer.subject()));
+        if (forwarded != null) {
+          outbox.send(
+              forwarded.requester,
+              newMessage(GossipMessage.Kind.NACK, forwarded.seq, forwarded.target, "", null));
         }
       }
-      case SUSPICION -> suspicionOver(now, t, late);
-      case EXCHANGE -> exchange(now);
+      case SUSPICION -> onSuspicionTimeout(now, timer, lateness);
+      case EXCHANGE -> startExchange(now);
       case RECONNECT -> reconnect(now);
     }
   }
 
-  /**
-   * All that this member would tell another in a full exchange; what it says of itself comes first.
-   */
+  /** Returns the claims that this member sends in a full exchange, the one about itself first. */
   public List<Claim> claims(long now) {
     List<Claim> all = new ArrayList<>(peers.size() + 1);
     all.add(self);
-    for (Peer p : peers.values()) {
-      all.add(p.claim.isLiving() ? p.claim : p.claim.aged(now - p.since));
+    for (Peer peer : peers.values()) {
+      all.add(peer.claim.isLiving() ? peer.claim : peer.claim.withAge(now - peer.statusSince));
     }
     return all;
   }
 
-  /** Takes in what another told in a full exchange. */
+  /** Applies the claims that another member sent in a full exchange. */
   public void merge(long now, List<Claim> theirs) {
-    if (over) {
+    if (stopped) {
       return;
     }
-    theirs.forEach(c -> take(now, c, true));
+    theirs.forEach(claim -> apply(now, claim, true));
     if (!theirs.isEmpty() && theirs.get(0).about() != null && theirs.get(0).about().informed()) {
-      informed();
+      markInformed();
     }
   }
 
-  /** The full exchange with an address is over: what it told. */
+  /** Handles the result of a full exchange that this member requested. */
   public void onExchange(long now, String address, List<Claim> theirs) {
-    if (over) {
+    if (stopped) {
       return;
     }
-    long before = self.incarnation();
+    long incarnationBefore = self.incarnation();
     merge(now, theirs);
-    Peer p = at(address);
-    if (p != null
-        && self.incarnation() != before) { // it holds this member dead, and tells its half of that
-      out.send(address, message(GossipMessage.Kind.PING, 0, p.claim.name(), "", null));
+    Peer peer = livingPeerAt(address);
+    // A new incarnation means that the peer held this member dead: send it the refutation at once,
+    // for it to spread on its side of a former partition.
+    if (peer != null && self.incarnation() != incarnationBefore) {
+      outbox.send(address, newMessage(GossipMessage.Kind.PING, 0, peer.claim.name(), "", null));
     }
   }
 
   /**
-   * The full exchange with an address did not come about; {@code refused} where the machine answers
-   * and nobody listens.
+   * Handles a full exchange that failed.
+   *
+   * @param refused whether the machine refused the connection, so that no process listens there
    */
   public void onUnreachable(String address, boolean refused) {
-    for (Peer p : peers.values()) {
-      if (p.claim.status() == Status.DEAD && p.claim.about().address().equals(address)) {
-        p.refused = refused;
+    for (Peer peer : peers.values()) {
+      if (peer.claim.status() == Status.DEAD && peer.claim.about().address().equals(address)) {
+        peer.connectionRefused = refused;
       }
     }
   }
 
-  // ---------------------------------------------------------------- what is known
+  // ---------------------------------------------------------------- view
 
   public String name() {
     return name;
   }
 
-  /** What this member says of itself. */
+  /** The claim of this member about itself. */
   public Claim self() {
     return self;
   }
 
-  /** All others, the dead and those that left included. */
+  /** All other members, including dead ones and those that left. */
   public Collection<Peer> peers() {
     return Collections.unmodifiableCollection(peers.values());
   }
 
-  /** Others that live as far as anyone can tell. */
+  /** The number of other members that are alive or only suspected. */
   public int livingCount() {
     return livingCount;
   }
 
-  /** Whether another process has this name, and this one tells nothing of itself. */
+  /** Whether this process has given up its name to another one. */
   public boolean hasYielded() {
     return yielded;
   }
 
-  /** How far it doubts itself, 0 to 8. */
+  /** The local health score, from 0 (healthy) to 8. */
   public int localHealthScore() {
-    return awareness.score();
+    return localHealth.score();
   }
 
-  /** Claims that wait to be passed on. */
+  /** The number of claims that wait to be piggybacked on messages. */
   public int queuedGossip() {
-    return news.size();
+    return gossipQueue.size();
   }
 
-  /** By how much what belongs to all front ends is divided for this one. */
+  /** The number by which this front end divides what all of them share. */
   public double divisor(long now) {
-    return FleetShare.divisor(settings, peers.values(), now, own());
+    return FleetShare.divisor(settings, peers.values(), now, localState());
   }
 
   /**
-   * How many front ends there likely are, those that may live on the other side of a cut included.
+   * The number of front ends, including those that may be alive on the other side of a partition.
    */
   public double frontEndCount(long now) {
-    return FleetShare.count(settings, peers.values(), now, own());
+    return FleetShare.count(settings, peers.values(), now, localState());
   }
 
-  private FleetShare.Own own() {
-    return new FleetShare.Own(startedAt, metAt, known, late, self.about().informed());
+  private FleetShare.LocalState localState() {
+    return new FleetShare.LocalState(
+        startedAt, firstContactAt, previouslyKnown, joinedDuringPartition, self.about().informed());
   }
 
   // ---------------------------------------------------------------- claims
 
-  /** Takes in a claim; {@code softly} where a death that is news counts as a suspicion. */
-  private void take(long now, Claim heard, boolean softly) {
-    if (heard.name().equals(name)) {
-      aboutSelf(now, heard);
+  /**
+   * Applies a claim to the view.
+   *
+   * @param deadAsSuspect whether a death not known yet counts only as a suspicion, which the member
+   *     may still refute
+   */
+  private void apply(long now, Claim received, boolean deadAsSuspect) {
+    if (received.name().equals(name)) {
+      applySelfClaim(now, received);
       return;
     }
-    Peer p = peers.get(heard.name());
-    if (p == null) {
-      if (heard.about() != null && heard.age() < settings.deadRetention() && makeRoom(now)) {
-        welcome(now, heard);
+    Peer peer = peers.get(received.name());
+    if (peer == null) {
+      if (received.about() != null && received.age() < settings.deadRetention() && makeRoom(now)) {
+        addPeer(now, received);
       }
       return;
     }
-    boolean sameLife = heard.life().equals(p.claim.life());
-    if (heard.about() == null && !sameLife) {
-      return; // of a life that this member has not heard of yet
+    boolean sameGeneration = received.generation().equals(peer.claim.generation());
+    // An accusation of a process that this member has not heard of yet has no metadata.
+    if (received.about() == null && !sameGeneration) {
+      return;
     }
-    Claim c = heard.about() == null ? heard.with(p.claim.about()) : heard;
-    if (softly && c.status() == Status.DEAD && sameLife && p.claim.isLiving()) {
-      c = c.with(Status.SUSPECT, c.accuser());
+    Claim claim = received.about() == null ? received.withAbout(peer.claim.about()) : received;
+    if (deadAsSuspect && claim.status() == Status.DEAD && sameGeneration && peer.claim.isLiving()) {
+      claim = claim.withStatus(Status.SUSPECT, claim.accuser());
     }
-    int order = c.compareTo(p.claim);
+    int order = claim.compareTo(peer.claim);
     if (order > 0) {
-      replace(now, p, c);
-    } else if (order == 0 && c.status() == Status.SUSPECT && p.suspicion.confirm(c.accuser())) {
-      news.add(c.bare());
-      out.startTimer(
-          new MembershipTimer(MembershipTimer.Kind.SUSPICION, c.name()),
-          Math.max(now, p.suspicion.end()));
-    }
-  }
-
-  private void welcome(long now, Claim c) {
-    Peer p = new Peer(c, c.isLiving() ? now : now - c.age());
-    boolean missing = missing(now);
-    peers.put(c.name(), p);
-    if (!c.isLiving()) {
+      update(now, peer, claim);
+    } else if (order == 0
+        && claim.status() == Status.SUSPECT
+        && peer.suspicion.confirm(claim.accuser())) {
+      gossipQueue.add(claim.compact());
+      outbox.startTimer(
+          new MembershipTimer(MembershipTimer.Kind.SUSPICION, claim.name()),
+          Math.max(now, peer.suspicion.expiresAt()));
+    }
+  }
+
+  private void addPeer(long now, Claim claim) {
+    Peer peer = new Peer(claim, claim.isLiving() ? now : now - claim.age());
+    boolean partitioned = hasMissingPeers(now);
+    peers.put(claim.name(), peer);
+    if (!claim.isLiving()) {
       return;
     }
-    p.late = missing;
-    enter(p);
-    if (c.status() == Status.SUSPECT) {
-      suspect(now, p);
+    peer.joinedDuringPartition = partitioned;
+    addLiving(peer);
+    if (claim.status() == Status.SUSPECT) {
+      startSuspicion(now, peer);
     }
-    news.add(c);
-    changed(now, Kind.JOINED, c, "");
+    gossipQueue.add(claim);
+    reportChange(now, Kind.JOINED, claim, "");
   }
 
-  private boolean missing(long now) {
-    return peers.size() > livingCount && FleetShare.missing(settings, peers.values(), now) > 0;
+  /** Whether a member that is held dead may be alive on the other side of a partition. */
+  private boolean hasMissingPeers(long now) {
+    return peers.size() > livingCount && FleetShare.countMissing(settings, peers.values(), now) > 0;
   }
 
-  private void enter(Peer p) {
+  private void addLiving(Peer peer) {
     livingCount++;
-    ring.add(random.nextInt(ring.size() + 1), p.claim.name());
+    probeOrder.add(random.nextInt(probeOrder.size() + 1), peer.claim.name());
   }
 
   /**
-   * Counts who met whom once a whole message or exchange is in: the missing may be told behind the
-   * first that lives.
+   * Records the first contact with another member. It must run only after all claims of a message
+   * or exchange are applied: claims about missing members may follow the first about a living one.
    */
-  private void meet(long now) {
-    if (livingCount > 0 && metAt == 0) {
-      metAt = now;
-      late = !known && missing(now);
+  private void recordFirstContact(long now) {
+    if (livingCount > 0 && firstContactAt == 0) {
+      firstContactAt = now;
+      joinedDuringPartition = !previouslyKnown && hasMissingPeers(now);
     }
   }
 
-  private void replace(long now, Peer p, Claim c) {
-    Claim before = p.claim;
-    p.claim = c;
-    boolean otherLife = !c.life().equals(before.life());
-    if (p.suspicion != null) {
-      out.cancelTimer(new MembershipTimer(MembershipTimer.Kind.SUSPICION, c.name()));
-      p.suspicion = null;
+  private void update(long now, Peer peer, Claim claim) {
+    Claim before = peer.claim;
+    peer.claim = claim;
+    boolean otherGeneration = !claim.generation().equals(before.generation());
+    if (peer.suspicion != null) {
+      outbox.cancelTimer(new MembershipTimer(MembershipTimer.Kind.SUSPICION, claim.name()));
+      peer.suspicion = null;
     }
-    if (before.status() != c.status() || otherLife) {
-      p.since = c.isLiving() ? now : now - c.age();
+    if (before.status() != claim.status() || otherGeneration) {
+      peer.statusSince = claim.isLiving() ? now : now - claim.age();
     }
-    if (c.isLiving() && !before.isLiving()) {
-      p.refused = false;
-      enter(p);
-    } else if (!c.isLiving() && before.isLiving()) {
+    if (claim.isLiving() && !before.isLiving()) {
+      peer.connectionRefused = false;
+      addLiving(peer);
+    } else if (!claim.isLiving() && before.isLiving()) {
       livingCount--;
-      ring.remove(c.name());
+      probeOrder.remove(claim.name());
     }
-    if (c.status() == Status.SUSPECT) {
-      suspect(now, p);
+    if (claim.status() == Status.SUSPECT) {
+      startSuspicion(now, peer);
     }
-    news.add(c.status() == Status.ALIVE || otherLife ? c : c.bare());
-    Kind kind = kind(before, c, otherLife);
+    gossipQueue.add(claim.status() == Status.ALIVE || otherGeneration ? claim : claim.compact());
+    Kind kind = changeKind(before, claim, otherGeneration);
     if (kind != null) {
-      changed(now, kind, c, c.accuser());
+      reportChange(now, kind, claim, claim.accuser());
     }
   }
 
-  private static Kind kind(Claim before, Claim c, boolean otherLife) {
-    if (otherLife && c.isLiving()) {
+  /** Returns the kind of change that a new claim makes, or null for none worth reporting. */
+  private static Kind changeKind(Claim before, Claim claim, boolean otherGeneration) {
+    if (otherGeneration && claim.isLiving()) {
       return Kind.RESTARTED;
     }
-    return switch (c.status()) {
+    return switch (claim.status()) {
       case LEFT -> Kind.LEFT;
       case DEAD -> before.isLiving() ? Kind.DIED : null;
       case SUSPECT -> Kind.SUSPECTED;
@@ -459,370 +505,432 @@
           switch (before.status()) {
             case SUSPECT -> Kind.REFUTED;
             case DEAD, LEFT -> Kind.RETURNED;
-            case ALIVE -> c.about().state() != before.about().state() ? Kind.SAID : null;
+            case ALIVE -> claim.about().state() != before.about().state() ? Kind.SAID : null;
           };
     };
   }
 
-  private void suspect(long now, Peer p) {
-    p.suspicion = new Suspicion(now, settings.interval(), livingCount + 1);
-    p.suspicion.confirm(p.claim.accuser());
-    out.startTimer(
-        new MembershipTimer(MembershipTimer.Kind.SUSPICION, p.claim.name()), p.suspicion.end());
+  private void startSuspicion(long now, Peer peer) {
+    peer.suspicion = new Suspicion(now, settings.interval(), livingCount + 1);
+    peer.suspicion.confirm(peer.claim.accuser());
+    outbox.startTimer(
+        new MembershipTimer(MembershipTimer.Kind.SUSPICION, peer.claim.name()),
+        peer.suspicion.expiresAt());
   }
 
-  private void suspicionOver(long now, MembershipTimer t, long late) {
-    Peer p = peers.get(t.subject());
-    if (p == null || p.suspicion == null) {
+  private void onSuspicionTimeout(long now, MembershipTimer timer, long lateness) {
+    Peer peer = peers.get(timer.subject());
+    if (peer == null || peer.suspicion == null) {
       return;
     }
-    long least = Suspicion.least(settings.interval(), livingCount + 1);
-    if (isLate(
-        late)) { // guards the healthy against a pause of this member: what refutes may lie unread
-      out.startTimer(t, now + least);
+    long minTimeout = Suspicion.minTimeout(settings.interval(), livingCount + 1);
+    // After a pause of this member a refutation may have arrived and not been read yet.
+    if (isLate(lateness)) {
+      outbox.startTimer(timer, now + minTimeout);
     } else {
-      take(now, p.claim.with(Status.DEAD, p.claim.accuser()), false);
+      apply(now, peer.claim.withStatus(Status.DEAD, peer.claim.accuser()), false);
     }
   }
 
-  /** Makes room for one more; false where all that are known live. */
+  /**
+   * Makes room for another member by removing the one that has been dead for longest. Returns false
+   * if the view is full of living members.
+   */
   private boolean makeRoom(long now) {
     if (peers.size() < settings.maxMembers()) {
       return true;
     }
-    Peer longest = null;
-    for (Peer p : peers.values()) {
-      if (!p.claim.isLiving() && (longest == null || p.since < longest.since)) {
-        longest = p;
+    Peer longestDead = null;
+    for (Peer peer : peers.values()) {
+      if (!peer.claim.isLiving()
+          && (longestDead == null || peer.statusSince < longestDead.statusSince)) {
+        longestDead = peer;
       }
     }
-    if (longest == null) {
+    if (longestDead == null) {
       return false;
     }
-    forget(now, longest);
+    forget(now, longestDead);
     return true;
   }
 
-  private void forget(long now, Peer p) {
-    peers.remove(p.claim.name());
-    news.drop(p.claim.name());
-    changed(now, Kind.FORGOTTEN, p.claim, "");
+  private void forget(long now, Peer peer) {
+    peers.remove(peer.claim.name());
+    gossipQueue.remove(peer.claim.name());
+    reportChange(now, Kind.FORGOTTEN, peer.claim, "");
   }
 
-  // ---------------------------------------------------------------- what is said of this member
+  // ---------------------------------------------------------------- claims about this member
 
-  private void aboutSelf(long now, Claim c) {
-    if (c.life().startId() != self.life().startId()) {
-      namesake(now, c);
-    } else if (!over
-        && c.life().equals(self.life())
-        && c.status() != Status.ALIVE
-        && c.incarnation() >= self.incarnation()) {
+  private void applySelfClaim(long now, Claim claim) {
+    if (claim.generation().startId() != self.generation().startId()) {
+      onNamesake(now, claim);
+    } else if (!stopped
+        && claim.generation().equals(self.generation())
+        && claim.status() != Status.ALIVE
+        && claim.incarnation() >= self.incarnation()) {
       self =
           new Claim(
-              name, self.life(), refuting(c.incarnation()), Status.ALIVE, self.about(), "", 0);
-      awareness.worse(settings.usesLocalHealth() ? 1 : 0);
-      changed(now, Kind.ACCUSED_SELF, c.with(self.about()), c.accuser());
-      announce();
+              name,
+              self.generation(),
+              refutingIncarnation(claim.incarnation()),
+              Status.ALIVE,
+              self.about(),
+              "",
+              0);
+      localHealth.degrade(settings.usesLocalHealth() ? 1 : 0);
+      reportChange(now, Kind.ACCUSED_SELF, claim.withAbout(self.about()), claim.accuser());
+      gossipSelf();
     }
   }
 
-  /** The incarnation that refutes what was said of another. */
-  protected long refuting(long accused) {
+  /** Returns the incarnation that refutes an accusation of another one. */
+  protected long refutingIncarnation(long accused) {
     return accused + 1;
   }
 
-  /** Another process has or had this name. */
-  private void namesake(long now, Claim c) {
-    known |=
-        metAt == 0
-            && (c.isLiving() || c.status() == Status.DEAD && c.age() < settings.deadConfirmation());
+  /** Handles a claim about another process that has or had the name of this member. */
+  private void onNamesake(long now, Claim claim) {
+    previouslyKnown |=
+        firstContactAt == 0
+            && (claim.isLiving()
+                || claim.status() == Status.DEAD && claim.age() < settings.deadConfirmation());
     if (yielded) {
       Peer holder = peers.get(name);
-      if (c.compareTo(holder.claim) > 0
-          && (c.about() != null || c.life().equals(holder.claim.life()))) {
-        holder.claim = c.about() == null ? c.with(holder.claim.about()) : c;
+      if (claim.compareTo(holder.claim) > 0
+          && (claim.about() != null || claim.generation().equals(holder.claim.generation()))) {
+        holder.claim = claim.about() == null ? claim.withAbout(holder.claim.about()) : claim;
       }
       if (!holder.claim.isLiving()) {
         peers.remove(name);
         yielded = false;
-        rename(holder.claim);
+        takeOverName(holder.claim);
       }
       return;
     }
-    if (c.life().compareTo(self.life()) < 0) {
-      return; // it is told of, or hears by itself, who has the name now
+    // A process of an earlier generation is told, or finds out itself, who owns the name now.
+    if (claim.generation().compareTo(self.generation()) < 0) {
+      return;
     }
-    boolean former =
-        !c.isLiving() || c.about() == null || c.about().address().equals(self.about().address());
-    if (!former) {
-      changed(now, Kind.CLASH, c, c.about().address());
+    boolean isPredecessor =
+        !claim.isLiving()
+            || claim.about() == null
+            || claim.about().address().equals(self.about().address());
+    if (!isPredecessor) {
+      reportChange(now, Kind.CLASH, claim, claim.about().address());
     }
-    if (former || Long.compareUnsigned(self.life().startId(), c.life().startId()) > 0) {
-      rename(c);
+    if (isPredecessor
+        || Long.compareUnsigned(self.generation().startId(), claim.generation().startId()) > 0) {
+      takeOverName(claim);
     } else {
       yielded = true;
-      peers.put(name, new Peer(c, now));
-      news.drop(name);
-      changed(now, Kind.YIELDED, c, c.about().address());
-      out.send(c.about().address(), message(GossipMessage.Kind.CLASH, 0, name, "", null));
+      peers.put(name, new Peer(claim, now));
+      gossipQueue.remove(name);
+      reportChange(now, Kind.YIELDED, claim, claim.about().address());
+      outbox.send(
+          claim.about().address(), newMessage(GossipMessage.Kind.NAME_CONFLICT, 0, name, "", null));
     }
   }
 
-  /** Takes the name with a life that comes after another's. */
-  private void rename(Claim after) {
+  /** Claims the name with a generation that follows the one of another process. */
+  private void takeOverName(Claim predecessor) {
     self =
         new Claim(
             name,
-            new ProcessGeneration(after.life().number() + 1, self.life().startId()),
+            new ProcessGeneration(
+                predecessor.generation().number() + 1, self.generation().startId()),
             0,
             Status.ALIVE,
             self.about(),
             "",
             0);
-    announce();
+    gossipSelf();
   }
 
-  private void announce() {
+  private void gossipSelf() {
     if (!yielded) {
-      news.add(self);
+      gossipQueue.add(self);
     }
   }
 
-  /** What the other must know of itself, as it is not what it says; or null. */
-  private static Claim unlike(Peer p, Claim said) {
-    return p != null && (p.claim.status() != Status.ALIVE || !p.claim.life().equals(said.life()))
-        ? p.claim
+  /**
+   * Returns the claim that the peer has to refute or to take over from, as it differs from what the
+   * peer says about itself; null where there is none.
+   */
+  private static Claim disputedClaim(Peer peer, Claim own) {
+    return peer != null
+            && (peer.claim.status() != Status.ALIVE
+                || !peer.claim.generation().equals(own.generation()))
+        ? peer.claim
         : null;
   }
 
   // ---------------------------------------------------------------- probes
 
-  private void probe(long now, long late) {
-    meet(now);
-    conclude(now, late);
-    out.startTimer(
+  private void startProbe(long now, long lateness) {
+    recordFirstContact(now);
+    finishProbe(now, lateness);
+    outbox.startTimer(
         MembershipTimer.of(MembershipTimer.Kind.PROBE),
-        now + awareness.stretch(settings.interval()));
-    Peer p = yielded ? null : nextTarget();
-    if (p == null) {
+        now + localHealth.scale(settings.interval()));
+    Peer peer = yielded ? null : nextTarget();
+    if (peer == null) {
       return;
     }
-    probe = new Probe(p.claim.name(), nextSeq++, now);
-    out.send(
-        p.claim.about().address(),
-        message(GossipMessage.Kind.PING, probe.seq, probe.target, "", unlike(p, p.claim)));
-    out.startTimer(
-        MembershipTimer.of(MembershipTimer.Kind.DIRECT),
-        now + awareness.stretch(settings.timeout()));
+    currentProbe = new Probe(peer.claim.name(), nextSeq++, now);
+    outbox.send(
+        peer.claim.about().address(),
+        newMessage(
+            GossipMessage.Kind.PING,
+            currentProbe.seq,
+            currentProbe.target,
+            "",
+            disputedClaim(peer, peer.claim)));
+    outbox.startTimer(
+        MembershipTimer.of(MembershipTimer.Kind.PROBE_TIMEOUT),
+        now + localHealth.scale(settings.timeout()));
   }
 
   private Peer nextTarget() {
-    if (next >= ring.size()) {
-      shuffle(ring);
-      next = 0;
+    if (nextProbeIndex >= probeOrder.size()) {
+      shuffle(probeOrder);
+      nextProbeIndex = 0;
     }
-    return next < ring.size() ? peers.get(ring.get(next++)) : null;
+    return nextProbeIndex < probeOrder.size() ? peers.get(probeOrder.get(nextProbeIndex++)) : null;
   }
 
-  private void conclude(long now, long late) {
-    Probe p = probe;
-    probe = null;
-    if (p == null) {
+  /** Evaluates the probe of the interval that has ended. */
+  private void finishProbe(long now, long lateness) {
+    Probe finished = currentProbe;
+    currentProbe = null;
+    if (finished == null) {
       return;
     }
-    if (p.answered) {
-      awareness.better();
+    if (finished.answered) {
+      localHealth.improve();
       return;
     }
-    if (isLate(
-        late)) { // guards the healthy against a pause of this member: the answer may lie unread
-      awareness.worse(1);
+    // After a pause of this member the response may have arrived and not been read yet.
+    if (isLate(lateness)) {
+      localHealth.degrade(1);
       return;
     }
     if (settings.usesLocalHealth()) {
-      awareness.worse(p.noes > 0 ? 0 : 1); // a single no proves that this member is heard and hears
+      // A single NACK proves that this member can send and receive.
+      localHealth.degrade(finished.nacks > 0 ? 0 : 1);
     }
-    Peer target = peers.get(p.target);
+    Peer target = peers.get(finished.target);
     if (target != null && target.claim.isLiving()) {
-      take(now, target.claim.with(Status.SUSPECT, name).bare(), false);
+      apply(now, target.claim.withStatus(Status.SUSPECT, name).compact(), false);
     }
   }
 
-  private boolean isLate(long late) {
-    return settings.usesLocalHealth() && late > settings.timeout() / LATE_PART;
+  /** Whether a timer fired so late that this member is slow itself. */
+  private boolean isLate(long lateness) {
+    return settings.usesLocalHealth() && lateness > settings.timeout() / LATE_TIMEOUT_DIVISOR;
   }
 
-  private void askOthers(long now) {
-    Peer target = probe == null || probe.answered ? null : peers.get(probe.target);
+  /** Probes the target again and asks other members to probe it too. */
+  private void probeIndirectly() {
+    Peer target =
+        currentProbe == null || currentProbe.answered ? null : peers.get(currentProbe.target);
     if (target == null) {
       return;
     }
-    probe.asked = true;
-    out.send(
+    currentProbe.indirect = true;
+    outbox.send(
         target.claim.about().address(),
-        message(
-            GossipMessage.Kind.PING, probe.seq, probe.target, "", unlike(target, target.claim)));
-    for (Peer helper : some(HELPERS, probe.target)) {
-      out.send(
+        newMessage(
+            GossipMessage.Kind.PING,
+            currentProbe.seq,
+            currentProbe.target,
+            "",
+            disputedClaim(target, target.claim)));
+    for (Peer helper : randomPeers(FANOUT, currentProbe.target)) {
+      outbox.send(
           helper.claim.about().address(),
-          message(
-              GossipMessage.Kind.ASK,
-              probe.seq,
-              probe.target,
+          newMessage(
+              GossipMessage.Kind.PING_REQUEST,
+              currentProbe.seq,
+              currentProbe.target,
               target.claim.about().address(),
               null));
     }
   }
 
-  private void ask(long now, GossipMessage m) {
-    if (yielded || forwards.size() >= MOST_FORWARDS) {
+  private void onPingRequest(long now, GossipMessage message) {
+    if (yielded || forwardedProbes.size() >= MAX_FORWARDED_PROBES) {
       return;
     }
     long seq = nextSeq++;
-    forwards.put(seq, new Forward(m.seq(), m.target(), m.from().about().address()));
-    Peer target = peers.get(m.target());
-    out.send(
-        m.address(),
-        message(
+    forwardedProbes.put(
+        seq,
+        new ForwardedProbe(message.seq(), message.target(), message.sender().about().address()));
+    Peer target = peers.get(message.target());
+    outbox.send(
+        message.targetAddress(),
+        newMessage(
             GossipMessage.Kind.PING,
             seq,
-            m.target(),
+            message.target(),
             "",
-            target == null ? null : unlike(target, target.claim)));
-    out.startTimer(
-        new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(seq)),
+            target == null ? null : disputedClaim(target, target.claim)));
+    outbox.startTimer(
+        new MembershipTimer(MembershipTimer.Kind.FORWARDED_PROBE, Long.toString(seq)),
         now + settings.timeout());
   }
 
-  private void answered(long now, GossipMessage m) {
-    if (probe != null && probe.seq == m.seq()) {
-      Peer p = peers.get(probe.target);
-      if (p != null && m.from().name().equals(probe.target)) {
-        p.roundTrip = probe.asked ? p.roundTrip : now - probe.sentAt;
+  private void onAck(long now, GossipMessage message) {
+    if (currentProbe != null && currentProbe.seq == message.seq()) {
+      Peer peer = peers.get(currentProbe.target);
+      if (peer != null && message.sender().name().equals(currentProbe.target)) {
+        peer.roundTrip = currentProbe.indirect ? peer.roundTrip : now - currentProbe.sentAt;
       }
-      probe.answered = true;
+      currentProbe.answered = true;
     }
-    Forward f = forwards.remove(m.seq());
-    if (f != null) {
-      out.cancelTimer(new MembershipTimer(MembershipTimer.Kind.FORWARD, Long.toString(m.seq())));
-      out.send(f.address, message(GossipMessage.Kind.ACK, f.seq, f.target, "", null));
+    ForwardedProbe forwarded = forwardedProbes.remove(message.seq());
+    if (forwarded != null) {
+      outbox.cancelTimer(
+          new MembershipTimer(MembershipTimer.Kind.FORWARDED_PROBE, Long.toString(message.seq())));
+      outbox.send(
+          forwarded.requester,
+          newMessage(GossipMessage.Kind.ACK, forwarded.seq, forwarded.target, "", null));
     }
   }
 
   /**
-   * An address answers a probe with another name: whoever was probed is gone from there, and would
-   * have said where to.
+   * Handles the response of a member with another name at the address of the probed one. The probed
+   * member is dead: it would have announced a new address.
    */
-  private void stranger(long now, GossipMessage m) {
-    Peer p = probe != null && probe.seq == m.seq() ? peers.get(probe.target) : null;
-    if (p != null
-        && p.claim.isLiving()
-        && p.claim.about().address().equals(m.from().about().address())) {
-      take(now, p.claim.with(Status.DEAD, m.from().name()), false);
-      p.refused = true;
+  private void onNotHere(long now, GossipMessage message) {
+    Peer peer =
+        currentProbe != null && currentProbe.seq == message.seq()
+            ? peers.get(currentProbe.target)
+            : null;
+    if (peer != null
+        && peer.claim.isLiving()
+        && peer.claim.about().address().equals(message.sender().about().address())) {
+      apply(now, peer.claim.withStatus(Status.DEAD, message.sender().name()), false);
+      peer.connectionRefused = true;
     }
   }
 
   // ---------------------------------------------------------------- full exchanges
 
-  private void exchange(long now) {
-    for (Peer p : List.copyOf(peers.values())) {
-      if (!p.claim.isLiving() && now - p.since >= settings.deadRetention()) {
-        forget(now, p);
+  private void startExchange(long now) {
+    for (Peer peer : List.copyOf(peers.values())) {
+      if (!peer.claim.isLiving() && now - peer.statusSince >= settings.deadRetention()) {
+        forget(now, peer);
       }
     }
     if (now - startedAt >= settings.deadRetention()) {
-      informed();
+      markInformed();
     }
-    if (!missing(now)) { // whole again: who came meanwhile is one of all
-      late = false;
-      peers.values().forEach(p -> p.late = false);
+    // After a partition has healed, those that joined during it count like all others.
+    if (!hasMissingPeers(now)) {
+      joinedDuringPartition = false;
+      peers.values().forEach(peer -> peer.joinedDuringPartition = false);
     }
-    for (Peer p : some(1, "")) {
-      out.exchange(p.claim.about().address());
+    for (Peer peer : randomPeers(1, "")) {
+      outbox.exchange(peer.claim.about().address());
     }
     if (yielded) {
-      out.send(
+      outbox.send(
           peers.get(name).claim.about().address(),
-          message(GossipMessage.Kind.CLASH, 0, name, "", null));
+          newMessage(GossipMessage.Kind.NAME_CONFLICT, 0, name, "", null));
     }
-    out.startTimer(
-        MembershipTimer.of(MembershipTimer.Kind.EXCHANGE), now + spread(untilExchange(now)));
+    outbox.startTimer(
+        MembershipTimer.of(MembershipTimer.Kind.EXCHANGE), now + jitter(exchangeDelay(now)));
   }
 
   /**
-   * News that probes lost is found sooner while there is news; the more members, the more an
-   * exchange costs.
+   * Returns the mean delay until the next full exchange. It is shorter while the view changes, to
+   * deliver gossip that was lost, and grows with the number of members, as an exchange then costs
+   * more.
    */
-  private long untilExchange(long now) {
-    boolean stirs = now - changedAt < settings.exchangeInterval();
+  private long exchangeDelay(long now) {
+    boolean changing = now - lastChangeAt < settings.exchangeInterval();
     return (long)
-        (settings.exchangeInterval() * Math.max(1, livingCount / FEW) / (stirs ? HASTE : 1));
+        (settings.exchangeInterval()
+            * Math.max(1, livingCount / MEMBERS_PER_EXCHANGE_INTERVAL)
+            / (changing ? CHANGING_EXCHANGE_SPEEDUP : 1));
   }
 
   private void reconnect(long now) {
-    List<String> lost = lost();
+    List<String> unreachable = unreachableAddresses();
     boolean alone = livingCount == 0;
     if (alone) {
-      shuffle(lost);
-      lost.subList(0, Math.min(HELPERS, lost.size())).forEach(out::exchange);
-    } else if (random.nextDouble() * livingCount < TRIES_EACH * lost.size()) {
-      out.exchange(lost.get(random.nextInt(lost.size())));
-    }
-    joinWait = alone ? Math.min(settings.reconnectInterval(), 2 * joinWait) : FIRST_JOIN;
-    out.startTimer(
+      shuffle(unreachable);
+      unreachable.subList(0, Math.min(FANOUT, unreachable.size())).forEach(outbox::exchange);
+    } else if (random.nextDouble() * livingCount
+        < RECONNECTS_PER_DEAD_MEMBER * unreachable.size()) {
+      outbox.exchange(unreachable.get(random.nextInt(unreachable.size())));
+    }
+    joinRetryDelay =
+        alone
+            ? Math.min(settings.reconnectInterval(), 2 * joinRetryDelay)
+            : FIRST_JOIN_RETRY_MICROS;
+    outbox.startTimer(
         MembershipTimer.of(MembershipTimer.Kind.RECONNECT),
-        now + spread(alone ? joinWait : settings.reconnectInterval()));
+        now + jitter(alone ? joinRetryDelay : settings.reconnectInterval()));
   }
 
-  /** Addresses where somebody should be and nobody is. */
-  protected List<String> lost() {
-    Set<String> lost =
-        new TreeSet<>(setSeeds); // in order: guards a seed's course against that of a hash table
+  /** Returns the seeds and the addresses of dead members at which no living member is known. */
+  protected List<String> unreachableAddresses() {
+    // Sorted, as the order of a hash set would make simulations with one seed differ.
+    Set<String> unreachable = new TreeSet<>(seeds);
     peers.values().stream()
-        .filter(p -> p.claim.status() == Status.DEAD)
-        .forEach(p -> lost.add(p.claim.about().address()));
+        .filter(peer -> peer.claim.status() == Status.DEAD)
+        .forEach(peer -> unreachable.add(peer.claim.about().address()));
     peers.values().stream()
-        .filter(p -> p.claim.isLiving())
-        .forEach(p -> lost.remove(p.claim.about().address()));
-    lost.remove(self.about().address());
-    return new ArrayList<>(lost);
+        .filter(peer -> peer.claim.isLiving())
+        .forEach(peer -> unreachable.remove(peer.claim.about().address()));
+    unreachable.remove(self.about().address());
+    return new ArrayList<>(unreachable);
   }
 
-  /** Who lives at an address, or null. */
-  private Peer at(String address) {
-    for (Peer p : peers.values()) {
-      if (p.claim.isLiving() && p.claim.about().address().equals(address)) {
-        return p;
+  /** Returns the living member at an address, or null. */
+  private Peer livingPeerAt(String address) {
+    for (Peer peer : peers.values()) {
+      if (peer.claim.isLiving() && peer.claim.about().address().equals(address)) {
+        return peer;
       }
     }
     return null;
   }
 
-  // ---------------------------------------------------------------- small parts
+  // ---------------------------------------------------------------- utilities
 
-  /** So many members drawn from those that are held alive, but for one. */
-  private List<Peer> some(int most, String but) {
-    List<Peer> drawn = new ArrayList<>(most);
-    for (int tries = 4 * most; tries > 0 && drawn.size() < most && !ring.isEmpty(); tries--) {
-      Peer p = peers.get(ring.get(random.nextInt(ring.size())));
-      if (p.claim.status() == Status.ALIVE && !p.claim.name().equals(but) && !drawn.contains(p)) {
-        drawn.add(p);
+  /** Draws up to {@code count} members at random that are alive and not suspected, except one. */
+  private List<Peer> randomPeers(int count, String excluded) {
+    List<Peer> drawn = new ArrayList<>(count);
+    for (int tries = 4 * count;
+        tries > 0 && drawn.size() < count && !probeOrder.isEmpty();
+        tries--) {
+      Peer peer = peers.get(probeOrder.get(random.nextInt(probeOrder.size())));
+      if (peer.claim.status() == Status.ALIVE
+          && !peer.claim.name().equals(excluded)
+          && !drawn.contains(peer)) {
+        drawn.add(peer);
       }
     }
     return drawn;
   }
 
-  private GossipMessage message(
-      GossipMessage.Kind kind, long seq, String target, String address, Claim first) {
-    int room = NEWS_BYTES - (first == null ? 0 : first.weight());
-    List<Claim> riders = news.take(room, livingCount + 1);
+  /**
+   * Creates a message with piggybacked claims.
+   *
+   * @param first a claim that must be among them, or null
+   */
+  private GossipMessage newMessage(
+      GossipMessage.Kind kind, long seq, String target, String targetAddress, Claim first) {
+    int room = MAX_GOSSIP_BYTES - (first == null ? 0 : first.estimatedBytes());
+    List<Claim> gossip = gossipQueue.take(room, livingCount + 1);
     if (first != null) {
-      riders.removeIf(c -> c.name().equals(first.name()));
-      riders.add(0, first);
+      gossip.removeIf(claim -> claim.name().equals(first.name()));
+      gossip.add(0, first);
     }
-    return new GossipMessage(kind, seq, target, address, self, riders);
+    return new GossipMessage(kind, seq, target, targetAddress, self, gossip);
   }
 
   private void shuffle(List<String> list) {
@@ -832,15 +940,15 @@
   }
 
   /**
-   * Between a half and one and a half of a time: what all do at one time, they do not do at one
-   * moment.
+   * Returns a random duration between half and one and a half of the given one, so that members
+   * started together do not act at the same moment.
    */
-  private long spread(long time) {
-    return (long) (time * (0.5 + random.nextDouble()));
+  private long jitter(long duration) {
+    return (long) (duration * (0.5 + random.nextDouble()));
   }
 
-  private void changed(long now, Kind kind, Claim claim, String by) {
-    changedAt = now;
-    out.onMembershipChange(new MembershipChange(now, kind, claim, by));
+  private void reportChange(long now, Kind kind, Claim claim, String by) {
+    lastChangeAt = now;
+    outbox.onMembershipChange(new MembershipChange(now, kind, claim, by));
   }
 }
--- a/src/main/java/umberrun/fleet/MembershipOutbox.java
+++ b/src/main/java/umberrun/fleet/MembershipOutbox.java
@@ -1,16 +1,19 @@
 package umberrun.fleet;
 
-/** What the membership wants done. Calls come in the order in which they are to be carried out. */
+/**
+ * The actions that a {@link Membership} requests. They must be carried out in the order of the
+ * calls.
+ */
 public interface MembershipOutbox {
   void send(String address, GossipMessage message);
 
   /**
-   * Asks for a full exchange; {@code Membership.onExchange} or {@code onUnreachable} is owed for
-   * it.
+   * Requests a full exchange with an address; the result must be reported by {@link
+   * Membership#onExchange} or {@link Membership#onUnreachable}.
    */
   void exchange(String address);
 
-  /** Starts a wait, in the place of one of the same kind and subject. */
+  /** Starts a timer; it replaces a running timer of the same kind and subject. */
   void startTimer(MembershipTimer timer, long at);
 
   void cancelTimer(MembershipTimer timer);
--- a/src/main/java/umberrun/fleet/MembershipSettings.java
+++ b/src/main/java/umberrun/fleet/MembershipSettings.java
@@ -3,22 +3,23 @@
 import java.util.List;
 
 /**
- * Figures of one fleet's view; times in microseconds.
+ * Settings of the membership protocol. All durations are in microseconds.
  *
- * @param fleet its name: others are not spoken with
+ * @param fleet the name of the fleet; messages of other fleets are ignored
+ * @param seeds addresses at which other members may be found
  * @param interval between two probes of one member
- * @param timeout for the direct answer to a probe; a half of the interval at the most, as helpers
- *     need the rest
+ * @param timeout for the response to a direct probe; at most half of the interval, as the indirect
+ *     probes need the rest
  * @param exchangeInterval between two full exchanges of one member
- * @param reconnectInterval between two tries to find the dead again
- * @param deadConfirmation for how long one must be dead before a refused connection proves that it
- *     is gone
- * @param deadRetention for how long the dead are kept; no cut is taken to last longer
- * @param propagationTime within what time news reaches every member
- * @param maxMembers the most that are known, dead ones included
- * @param frontEndCount front ends counted by one that has met nobody yet
- * @param usesLocalHealth whether a member that is itself late accuses more slowly; off only to
- *     measure what that is worth
+ * @param reconnectInterval between two attempts to reach dead members again
+ * @param deadConfirmation for how long a member must have been dead before a refused connection
+ *     proves that it is gone
+ * @param deadRetention for how long dead members are kept; no partition is assumed to last longer
+ * @param propagationTime within which gossip reaches every member
+ * @param maxMembers the most members in a view, dead ones included
+ * @param frontEndCount the number of front ends that a member assumes until it knows better
+ * @param usesLocalHealth whether a member that is itself slow takes longer to accuse others;
+ *     disabled only to measure the effect
  */
 public record MembershipSettings(
     String fleet,
@@ -33,11 +34,14 @@
     int maxMembers,
     int frontEndCount,
     boolean usesLocalHealth) {
+  /** Microseconds in a millisecond. */
   public static final long MS = 1_000;
+
+  /** Microseconds in a second. */
   public static final long SECOND = 1_000_000;
 
-  /** What is usual where the operator says nothing. */
-  public static MembershipSettings defaults(String fleet, List<String> seeds, int siblings) {
+  /** The settings for everything that the operator does not configure. */
+  public static MembershipSettings defaults(String fleet, List<String> seeds, int frontEndCount) {
     return new MembershipSettings(
         fleet,
         seeds,
@@ -49,7 +53,7 @@
         3_600 * SECOND,
         5 * SECOND,
         1_024,
-        siblings,
+        frontEndCount,
         true);
   }
 }
--- a/src/main/java/umberrun/fleet/Peer.java
+++ b/src/main/java/umberrun/fleet/Peer.java
@@ -3,47 +3,50 @@
 import java.util.List;
 
 /**
- * Another member, as the view has it. Times are in microseconds of the own steady clock, 0 for
- * never.
+ * Another member in the view. Times are in microseconds of this member's steady clock, 0 for never.
  */
 public final class Peer {
   Claim claim;
-  Suspicion suspicion;
 
-  /** Since when it has this status. */
-  long since;
+  /** The running suspicion; null where the member is not suspected. */
+  Suspicion suspicion;
 
-  long heardAt;
+  long statusSince;
+  long lastHeardAt;
   long roundTrip;
 
-  /** Its address refused a connection while it was dead. */
-  boolean refused;
+  /** Whether its address refused a connection while it was held dead. */
+  boolean connectionRefused;
 
-  /** Came while others were missing. */
-  boolean late;
+  /** Whether it joined while other members were missing. */
+  boolean joinedDuringPartition;
 
   Peer(Claim claim, long now) {
     this.claim = claim;
-    this.since = now;
+    this.statusSince = now;
   }
 
+  /** The greatest claim that is known about the member. */
   public Claim claim() {
     return claim;
   }
 
-  public long since() {
-    return since;
+  /** When the member got its present status. */
+  public long statusSince() {
+    return statusSince;
   }
 
-  public long heardAt() {
-    return heardAt;
+  /** When the last message came from the member itself. */
+  public long lastHeardAt() {
+    return lastHeardAt;
   }
 
+  /** The duration of the last direct probe, in microseconds. */
   public long roundTrip() {
     return roundTrip;
   }
 
-  /** Who suspects it now. */
+  /** The members that suspect it now. */
   public Iterable<String> accusers() {
     return suspicion == null ? List.of() : suspicion.accusers;
   }
--- a/src/main/java/umberrun/fleet/net/FleetClient.java
+++ b/src/main/java/umberrun/fleet/net/FleetClient.java
@@ -9,39 +9,43 @@
 import umberrun.fleet.net.FleetCodec.Frame;
 import umberrun.fleet.net.FleetCodec.UndecodableException;
 
-/** Asks a running member, from a shell. */
+/** A blocking client for operator commands, which sends one request to a running member. */
 public final class FleetClient {
-  private static final int PATIENCE_MILLIS = 5_000;
+  private static final int TIMEOUT_MILLIS = 5_000;
 
   private FleetClient() {}
 
-  /** What a member answers, as JSON. */
+  /** Sends a request without arguments and returns the answer, which is JSON. */
   public static String ask(String host, int port, Frame.Kind kind) throws IOException {
     return ask(host, port, kind, "");
   }
 
-  /** The same with words, as parts that use the fleet's listener want them. */
+  /**
+   * Sends a request and returns the answer, which is JSON.
+   *
+   * @param words for a CALL the topic and its arguments, separated by white space
+   */
   public static String ask(String host, int port, Frame.Kind kind, String words)
       throws IOException {
     FleetCodec codec = new FleetCodec("");
     try (Socket socket = new Socket()) {
-      socket.setSoTimeout(PATIENCE_MILLIS);
-      socket.connect(new InetSocketAddress(host, port), PATIENCE_MILLIS);
-      byte[] asked = codec.encode(new Frame(kind, true, List.of(), words));
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      socket.connect(new InetSocketAddress(host, port), TIMEOUT_MILLIS);
+      byte[] request = codec.encode(new Frame(kind, true, List.of(), words));
       DataOutputStream out = new DataOutputStream(socket.getOutputStream());
-      out.writeInt(asked.length);
-      out.write(asked);
+      out.writeInt(request.length);
+      out.write(request);
       out.flush();
       DataInputStream in = new DataInputStream(socket.getInputStream());
       StringBuilder text = new StringBuilder();
       while (true) {
         int length = in.readInt();
         if (length <= 0 || length > FleetCodec.MAX_FRAME_BYTES) {
-          throw new IOException("it speaks another language");
+          throw new IOException("the answer is not a frame of the fleet protocol");
         }
-        Frame f = codec.decodeFrame(in.readNBytes(length));
-        text.append(f.text());
-        if (f.last()) {
+        Frame frame = codec.decodeFrame(in.readNBytes(length));
+        text.append(frame.text());
+        if (frame.last()) {
           return text.toString();
         }
       }
--- a/src/main/java/umberrun/fleet/net/FleetCodec.java
+++ b/src/main/java/umberrun/fleet/net/FleetCodec.java
@@ -13,15 +13,15 @@
 import umberrun.fleet.ProcessGeneration;
 
 /**
- * The bytes of datagrams and frames: arrays of MessagePack, to which later versions add at the end.
- * What is beyond the fields known here is passed over.
+ * Encodes and decodes datagrams and frames. They are MessagePack arrays; later versions may append
+ * fields, and a decoder skips the fields that it does not know.
  */
 public final class FleetCodec {
-  /** Bytes that can't be used; the message says why. */
+  /** Thrown for input that can't be decoded; the message gives the reason. */
   public static final class UndecodableException extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** Whether they are of another fleet or version, and not wrong. */
+    /** Whether the input belongs to another fleet or version and is not malformed. */
     public final boolean foreign;
 
     UndecodableException(String message, boolean foreign) {
@@ -30,33 +30,44 @@
     }
   }
 
-  /** A piece of a full exchange, or an operator's call and its answer. */
+  /**
+   * A part of a full exchange, or of an operator's request or its answer.
+   *
+   * @param last whether no more frames follow
+   * @param claims the claims of a SYNC; empty otherwise
+   * @param text the arguments of an operator's request, or a part of its answer
+   */
   public record Frame(Kind kind, boolean last, List<Claim> claims, String text) {
-    /** What a frame is for. CALL is an operator's call of a part that uses the fleet's listener. */
+    /** The purpose of a frame. The order of the constants is the wire code. */
     public enum Kind {
+      /** Claims of a full exchange. */
       SYNC,
+      /** An operator's request for the view of the member. */
       VIEW,
+      /** An operator's request that the member leave the fleet. */
       LEAVE,
+      /** An operator's request to the handler of a topic. */
       CALL
     }
   }
 
   /**
-   * What one member sends another for a part that uses the fleet's listener.
+   * A message between the handlers of one topic in two members.
    *
-   * @param topic the part
-   * @param to its name: whoever has the address now may be another
-   * @param address where the sender hears answers
+   * @param recipient the name of the addressed member; another member may use its address by now
+   * @param sender the name of the sending member
+   * @param senderAddress where the sender receives replies
    */
-  public record TopicMessage(String topic, String to, String from, String address, byte[] body) {}
+  public record TopicMessage(
+      String topic, String recipient, String sender, String senderAddress, byte[] body) {}
 
   public static final int MAX_DATAGRAM_BYTES = 1_400;
   public static final int MAX_FRAME_BYTES = 80 << 10;
 
-  /** Claims in a frame: a claim is shorter than 512 bytes, as the names in it are bounded. */
-  static final int CLAIMS_A_FRAME = 100;
+  /** A claim is shorter than 512 bytes, as its texts are bounded, so this many fit in a frame. */
+  static final int MAX_CLAIMS_PER_FRAME = 100;
 
-  /** Characters in a name or address. */
+  /** The most characters in a name or address. */
   public static final int MAX_TEXT_LENGTH = 64;
 
   private static final int VERSION = 1;
@@ -64,82 +75,87 @@
   private static final int ABOUT_FIELDS = 8;
   private static final int DATAGRAM_FIELDS = 8;
   private static final int FRAME_FIELDS = 6;
-  private static final int PARCEL_FIELDS = 8;
+  private static final int TOPIC_MESSAGE_FIELDS = 8;
 
-  /** Where a message and a frame have their kind. */
-  private static final int PARCEL = 64;
+  /** The kind code of a topic message, in the place where datagrams and frames have their kind. */
+  private static final int TOPIC_MESSAGE_KIND = 64;
 
-  private static final int MOST_CLAIMS = 256;
+  private static final int MAX_CLAIMS = 256;
 
-  /** Guards the arithmetic of lives and incarnations against a liar. */
-  private static final long MOST_NUMBER = 1L << 52;
+  /** Keeps incarnations and ages from a faulty sender from overflowing later. */
+  private static final long MAX_NUMBER = 1L << 52;
 
-  private static final int MOST_LIFE = 1 << 30;
+  /** Keeps the generation number, which is an int, from overflowing. */
+  private static final int MAX_GENERATION = 1 << 30;
 
   private final String fleet;
 
   /**
-   * @param fleet its name; empty for an operator, who calls any fleet, but takes part in none
+   * @param fleet the name of the fleet; empty for an operator, who may send requests to members of
+   *     any fleet but takes no part in full exchanges
    */
   public FleetCodec(String fleet) {
     this.fleet = fleet;
   }
 
-  // ---------------------------------------------------------------- out
+  // ---------------------------------------------------------------- encoding
 
-  /** A datagram; news that do not fit are left out, and come again by their next turn. */
-  public byte[] encode(GossipMessage m) {
-    int news = m.news().size();
-    byte[] bytes = encode(m, news);
-    while (bytes.length > MAX_DATAGRAM_BYTES && news > 0) {
-      bytes = encode(m, --news);
+  /**
+   * Encodes a datagram. Claims that do not fit are left out; they are sent again with a later
+   * message.
+   */
+  public byte[] encode(GossipMessage message) {
+    int claimCount = message.gossip().size();
+    byte[] bytes = encode(message, claimCount);
+    while (bytes.length > MAX_DATAGRAM_BYTES && claimCount > 0) {
+      bytes = encode(message, --claimCount);
     }
     return bytes;
   }
 
-  private byte[] encode(GossipMessage m, int news) {
-    try (MessageBufferPacker out = head(DATAGRAM_FIELDS)) {
-      out.packByte((byte) m.kind().ordinal())
-          .packLong(m.seq())
-          .packString(m.target())
-          .packString(m.address());
-      pack(out, m.from());
-      pack(out, m.news().subList(0, news));
+  private byte[] encode(GossipMessage message, int claimCount) {
+    try (MessageBufferPacker out = packHeader(DATAGRAM_FIELDS)) {
+      out.packByte((byte) message.kind().ordinal())
+          .packLong(message.seq())
+          .packString(message.target())
+          .packString(message.targetAddress());
+      pack(out, message.sender());
+      pack(out, message.gossip().subList(0, claimCount));
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException(e); // a buffer in memory
+      throw new IllegalStateException("writing to a buffer in memory failed", e);
     }
   }
 
-  /** A frame's content. */
-  public byte[] encode(Frame f) {
-    try (MessageBufferPacker out = head(FRAME_FIELDS)) {
-      out.packByte((byte) f.kind.ordinal()).packBoolean(f.last);
-      pack(out, f.claims);
-      out.packString(f.text);
+  /** Encodes the content of a frame. */
+  public byte[] encode(Frame frame) {
+    try (MessageBufferPacker out = packHeader(FRAME_FIELDS)) {
+      out.packByte((byte) frame.kind.ordinal()).packBoolean(frame.last);
+      pack(out, frame.claims);
+      out.packString(frame.text);
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException(e); // a buffer in memory
+      throw new IllegalStateException("writing to a buffer in memory failed", e);
     }
   }
 
-  /** A datagram's or frame's content. */
-  public byte[] encode(TopicMessage p) {
-    try (MessageBufferPacker out = head(PARCEL_FIELDS)) {
-      out.packInt(PARCEL)
-          .packString(p.topic)
-          .packString(p.to)
-          .packString(p.from)
-          .packString(p.address)
-          .packBinaryHeader(p.body.length)
-          .writePayload(p.body);
+  /** Encodes a topic message, as a datagram or as the content of a frame. */
+  public byte[] encode(TopicMessage message) {
+    try (MessageBufferPacker out = packHeader(TOPIC_MESSAGE_FIELDS)) {
+      out.packInt(TOPIC_MESSAGE_KIND)
+          .packString(message.topic)
+          .packString(message.recipient)
+          .packString(message.sender)
+          .packString(message.senderAddress)
+          .packBinaryHeader(message.body.length)
+          .writePayload(message.body);
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException(e); // a buffer in memory
+      throw new IllegalStateException("writing to a buffer in memory failed", e);
     }
   }
 
-  private MessageBufferPacker head(int fields) throws IOException {
+  private MessageBufferPacker packHeader(int fields) throws IOException {
     MessageBufferPacker out = MessagePack.newDefaultBufferPacker();
     out.packArrayHeader(fields).packByte((byte) VERSION).packString(fleet);
     return out;
@@ -147,184 +163,198 @@
 
   private static void pack(MessageBufferPacker out, List<Claim> claims) throws IOException {
     out.packArrayHeader(claims.size());
-    for (Claim c : claims) {
-      pack(out, c);
+    for (Claim claim : claims) {
+      pack(out, claim);
     }
   }
 
-  private static void pack(MessageBufferPacker out, Claim c) throws IOException {
+  private static void pack(MessageBufferPacker out, Claim claim) throws IOException {
     out.packArrayHeader(CLAIM_FIELDS)
-        .packString(c.name())
-        .packInt(c.life().number())
-        .packLong(c.life().startId())
-        .packLong(c.incarnation())
-        .packByte((byte) c.status().ordinal())
-        .packString(c.accuser())
-        .packLong(c.age());
-    About a = c.about();
-    if (a == null) {
+        .packString(claim.name())
+        .packInt(claim.generation().number())
+        .packLong(claim.generation().startId())
+        .packLong(claim.incarnation())
+        .packByte((byte) claim.status().ordinal())
+        .packString(claim.accuser())
+        .packLong(claim.age());
+    About about = claim.about();
+    if (about == null) {
       out.packNil();
     } else {
       out.packArrayHeader(ABOUT_FIELDS)
-          .packString(a.hall())
-          .packString(a.address())
-          .packByte((byte) a.state().ordinal())
-          .packString(a.learning())
-          .packString(a.door())
-          .packString(a.release())
-          .packInt(a.traffic())
-          .packBoolean(a.informed());
+          .packString(about.hall())
+          .packString(about.address())
+          .packByte((byte) about.state().ordinal())
+          .packString(about.factAddress())
+          .packString(about.operatorAddress())
+          .packString(about.release())
+          .packInt(about.traffic())
+          .packBoolean(about.informed());
     }
   }
 
-  // ---------------------------------------------------------------- in
+  // ---------------------------------------------------------------- decoding
 
+  /** Decodes a datagram of the membership protocol. */
   public GossipMessage decodeMessage(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-      int extra = extra(in.unpackArrayHeader(), DATAGRAM_FIELDS);
-      known(in, false);
-      GossipMessage.Kind kind = one(GossipMessage.Kind.values(), in.unpackInt());
-      GossipMessage m =
-          new GossipMessage(kind, in.unpackLong(), text(in), text(in), claim(in), claims(in));
-      if (m.from().about() == null) {
-        throw new UndecodableException("a sender that says nothing of itself", false);
+      int extra = extraFields(in.unpackArrayHeader(), DATAGRAM_FIELDS);
+      readHeader(in, false);
+      GossipMessage.Kind kind = constant(GossipMessage.Kind.values(), in.unpackInt());
+      GossipMessage message =
+          new GossipMessage(
+              kind, in.unpackLong(), readText(in), readText(in), readClaim(in), readClaims(in));
+      if (message.sender().about() == null) {
+        throw new UndecodableException("the sender has no metadata", false);
       }
       in.skipValue(extra);
-      return m;
+      return message;
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
       throw new UndecodableException(e.toString(), false);
     }
   }
 
+  /** Decodes the content of a frame. */
   public Frame decodeFrame(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-      int extra = extra(in.unpackArrayHeader(), FRAME_FIELDS);
-      boolean member = known(in, true);
-      Frame f =
+      int extra = extraFields(in.unpackArrayHeader(), FRAME_FIELDS);
+      boolean fromMember = readHeader(in, true);
+      Frame frame =
           new Frame(
-              one(Frame.Kind.values(), in.unpackInt()),
+              constant(Frame.Kind.values(), in.unpackInt()),
               in.unpackBoolean(),
-              claims(in),
+              readClaims(in),
               in.unpackString());
       in.skipValue(extra);
-      if (!member && f.kind == Frame.Kind.SYNC) {
-        throw new UndecodableException("an exchange of no fleet", true);
+      if (!fromMember && frame.kind == Frame.Kind.SYNC) {
+        throw new UndecodableException("full exchange without the name of a fleet", true);
       }
-      return f;
+      return frame;
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
       throw new UndecodableException(e.toString(), false);
     }
   }
 
-  /** A parcel, or null where the bytes are something else. */
+  /** Decodes a topic message; returns null where the input is another datagram or frame. */
   public TopicMessage decodeTopicMessage(byte[] bytes) throws UndecodableException {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
       int fields = in.unpackArrayHeader();
-      known(in, true);
-      if (in.unpackInt() != PARCEL) {
+      readHeader(in, true);
+      if (in.unpackInt() != TOPIC_MESSAGE_KIND) {
         return null;
       }
-      int extra = extra(fields, PARCEL_FIELDS);
-      TopicMessage p =
+      int extra = extraFields(fields, TOPIC_MESSAGE_FIELDS);
+      TopicMessage message =
           new TopicMessage(
-              text(in), text(in), text(in), text(in), in.readPayload(in.unpackBinaryHeader()));
+              readText(in),
+              readText(in),
+              readText(in),
+              readText(in),
+              in.readPayload(in.unpackBinaryHeader()));
       in.skipValue(extra);
-      return p;
+      return message;
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
       throw new UndecodableException(e.toString(), false);
     }
   }
 
-  /** Whether a member wrote it; an operator may have where that is allowed. */
-  private boolean known(MessageUnpacker in, boolean operators)
+  /**
+   * Reads and checks the version and the fleet.
+   *
+   * @param operatorsAllowed whether the input may come from an operator or go to one
+   * @return whether the sender is a member of a fleet
+   */
+  private boolean readHeader(MessageUnpacker in, boolean operatorsAllowed)
       throws IOException, UndecodableException {
     int version = in.unpackInt();
     if (version != VERSION) {
-      throw new UndecodableException("version " + version, true);
+      throw new UndecodableException("protocol version " + version + " is not supported", true);
     }
-    String of = text(in);
-    if (!of.equals(fleet) && !(operators && (of.isEmpty() || fleet.isEmpty()))) {
-      throw new UndecodableException("fleet " + of, true);
+    String sourceFleet = readText(in);
+    if (!sourceFleet.equals(fleet)
+        && !(operatorsAllowed && (sourceFleet.isEmpty() || fleet.isEmpty()))) {
+      throw new UndecodableException("message of fleet " + sourceFleet, true);
     }
-    return !of.isEmpty();
+    return !sourceFleet.isEmpty();
   }
 
-  private static int extra(int fields, int needed) {
+  /** Returns the number of fields that a later version has appended. */
+  private static int extraFields(int fields, int needed) {
     require(fields >= needed, "too few fields");
     return fields - needed;
   }
 
-  private static List<Claim> claims(MessageUnpacker in) throws IOException {
-    int n = in.unpackArrayHeader();
-    require(n <= MOST_CLAIMS, "too many claims");
-    List<Claim> claims = new ArrayList<>(n);
-    for (int i = 0; i < n; i++) {
-      claims.add(claim(in));
+  private static List<Claim> readClaims(MessageUnpacker in) throws IOException {
+    int count = in.unpackArrayHeader();
+    require(count <= MAX_CLAIMS, "too many claims");
+    List<Claim> claims = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      claims.add(readClaim(in));
     }
     return claims;
   }
 
-  private static Claim claim(MessageUnpacker in) throws IOException {
-    int extra = extra(in.unpackArrayHeader(), CLAIM_FIELDS);
-    String name = text(in);
-    int life = in.unpackInt();
+  private static Claim readClaim(MessageUnpacker in) throws IOException {
+    int extra = extraFields(in.unpackArrayHeader(), CLAIM_FIELDS);
+    String name = readText(in);
+    int generation = in.unpackInt();
     long startId = in.unpackLong();
     long incarnation = in.unpackLong();
-    Claim.Status status = one(Claim.Status.values(), in.unpackInt());
-    String accuser = text(in);
+    Claim.Status status = constant(Claim.Status.values(), in.unpackInt());
+    String accuser = readText(in);
     long age = in.unpackLong();
     require(
         !name.isEmpty()
-            && life > 0
-            && life < MOST_LIFE
+            && generation > 0
+            && generation < MAX_GENERATION
             && incarnation >= 0
-            && incarnation < MOST_NUMBER
+            && incarnation < MAX_NUMBER
             && age >= 0
-            && age < MOST_NUMBER,
-        "figures that can't be");
-    Claim c =
+            && age < MAX_NUMBER,
+        "a number of a claim is out of range");
+    Claim claim =
         new Claim(
             name,
-            new ProcessGeneration(life, startId),
+            new ProcessGeneration(generation, startId),
             incarnation,
             status,
-            in.tryUnpackNil() ? null : about(in),
+            in.tryUnpackNil() ? null : readAbout(in),
             accuser,
             age);
     in.skipValue(extra);
-    return c;
+    return claim;
   }
 
-  private static About about(MessageUnpacker in) throws IOException {
-    int extra = extra(in.unpackArrayHeader(), ABOUT_FIELDS);
-    About a =
+  private static About readAbout(MessageUnpacker in) throws IOException {
+    int extra = extraFields(in.unpackArrayHeader(), ABOUT_FIELDS);
+    About about =
         new About(
-            text(in),
-            text(in),
-            one(About.State.values(), in.unpackInt()),
-            text(in),
-            text(in),
-            text(in),
+            readText(in),
+            readText(in),
+            constant(About.State.values(), in.unpackInt()),
+            readText(in),
+            readText(in),
+            readText(in),
             in.unpackInt(),
             in.unpackBoolean());
     in.skipValue(extra);
-    return a;
+    return about;
   }
 
-  private static String text(MessageUnpacker in) throws IOException {
-    String s = in.unpackString();
-    require(s.length() <= MAX_TEXT_LENGTH, "a text too long");
-    return s;
+  private static String readText(MessageUnpacker in) throws IOException {
+    String text = in.unpackString();
+    require(text.length() <= MAX_TEXT_LENGTH, "text is too long");
+    return text;
   }
 
-  private static <E> E one(E[] all, int i) {
-    require(i >= 0 && i < all.length, "no such word");
-    return all[i];
+  private static <E> E constant(E[] constants, int code) {
+    require(code >= 0 && code < constants.length, "unknown code of a constant");
+    return constants[code];
   }
 
-  private static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new IllegalArgumentException(otherwise);
+  private static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException(message);
     }
   }
 }
--- a/src/main/java/umberrun/fleet/net/FleetManager.java
+++ b/src/main/java/umberrun/fleet/net/FleetManager.java
@@ -41,16 +41,20 @@
 import umberrun.workerlist.ConsulSource;
 
 /**
- * The view of the fleet in a front end: carries the {@link Membership} on the one loop, tells it of
- * this front end, and tells the owner and others of the view.
+ * Runs the {@link Membership} of a front end on the event loop: publishes the state of this front
+ * end, passes the size of the fleet to the {@link DispatchLoop}, and connects other components with
+ * their counterparts in other members.
  */
 public final class FleetManager implements MembershipOutbox, FleetTransport.Listener {
   /**
-   * What this front end is.
+   * Describes this front end.
    *
-   * @param factAddress where it tells what it knows, or empty
-   * @param operatorAddress where operators call it, or empty
-   * @param frontEndCount the settings' number of front ends
+   * @param name its member name
+   * @param hall the hall in which it runs
+   * @param factAddress where it serves its facts about workers; empty for none
+   * @param operatorAddress where it serves operators; empty for none
+   * @param frontEndCount the number of front ends in the settings
+   * @param seed the seed of its random numbers
    */
   public record Identity(
       String name,
@@ -60,87 +64,117 @@
       int frontEndCount,
       long seed) {}
 
-  private static final long BEAT_MILLIS = 500;
+  /** How often the state of this front end is published and the divisor computed again. */
+  private static final long UPDATE_INTERVAL_MILLIS = 500;
 
-  /** An elder process of this front end may hold the address for as long as it lives. */
-  private static final long BIND_MILLIS = 50;
+  /**
+   * Delay before another attempt to bind the address, which a previous process of this front end
+   * may hold until it ends.
+   */
+  private static final long BIND_RETRY_MILLIS = 50;
+
+  /** How long the sockets stay open on departure, for the announcement to be sent. */
+  private static final long LEAVE_DELAY_MILLIS = BIND_RETRY_MILLIS / 5;
+
+  /**
+   * The shortest time between two publications of the traffic, as each one is gossip for all
+   * members. It grows with their number.
+   */
+  private static final long TRAFFIC_INTERVAL_MICROS = 10_000_000;
+
+  private static final long TRAFFIC_INTERVAL_MICROS_PER_MEMBER = 500_000;
+
+  /** The relative change of the traffic from which it is published again. */
+  private static final double MIN_TRAFFIC_CHANGE = 0.25;
+
+  private static final long SEED_REFRESH_MILLIS = 5_000;
 
-  /** Traffic is news for all members: told this seldom, and seldomer the more there are. */
-  private static final long TRAFFIC_MICROS = 10_000_000;
+  /** How long fact peers are awaited where no other member has been met yet. */
+  private static final long FIRST_CONTACT_TIMEOUT_MILLIS = 300;
 
-  private static final long TRAFFIC_MICROS_EACH = 500_000;
-  private static final double TRAFFIC_CHANGE = 0.25;
-  private static final long SEEDS_MILLIS = 5_000;
-  private static final long MEET_MILLIS = 300;
-  private static final int MOST_ADDRESSES = 256;
+  private static final int MAX_SENDER_ADDRESSES = 256;
+
+  /** Microseconds in a millisecond. */
   private static final long MS = 1_000;
 
   private final Vertx vertx;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Clock clock;
   private final Counters counters;
   private final FleetOptions options;
   private final Identity identity;
   private final Supplier<Lifecycle.State> state;
   private final Consumer<String> log;
-  private final EventLog journal = new EventLog("fleet");
-  private final FleetTransport carrier;
+  private final EventLog eventLog = new EventLog("fleet");
+  private final FleetTransport transport;
   private final Map<MembershipTimer, Long> timers = new HashMap<>();
-  private final Map<String, TopicHandler> guests = new LinkedHashMap<>();
+  private final Map<String, TopicHandler> handlers = new LinkedHashMap<>();
 
   /**
-   * Where parcels came from lately: a view that does not know a member is no reason not to answer
-   * it.
+   * The addresses of the most recent senders of topic messages, by member name, so that a sender
+   * can be answered even where the view does not contain it.
    */
-  private final Map<String, String> addresses =
+  private final Map<String, String> senderAddresses =
       new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-          return size() > MOST_ADDRESSES;
+          return size() > MAX_SENDER_ADDRESSES;
         }
       };
 
-  private final Promise<Void> met = Promise.promise();
+  /** Completes at the first contact with another member. */
+  private final Promise<Void> firstContact = Promise.promise();
+
   private final Random random;
   private ConsulSource consul;
   private Membership membership;
+
+  /** The address that other members use; null until the transport listens. */
   private String advertised;
-  private boolean over;
-  private double counted;
+
+  private boolean stopped;
+  private double frontEndCount;
   private double divisor;
   private int traffic;
-  private long takenBefore;
-  private long trafficAt;
 
-  /** A part that uses the fleet's listener. */
+  /** Calls accepted in all when the traffic was last measured, and when that was. */
+  private long previousCalls;
+
+  private long trafficMeasuredAt;
+
+  /**
+   * Handles the messages and operator requests of one topic for a component that communicates over
+   * the fleet transport.
+   */
   public interface TopicHandler {
-    /** A parcel came from a member, or from who says so. */
+    /** Handles a message. The sender's name is not authenticated. */
     void onTopicMessage(String from, byte[] body);
 
-    /** An operator's call: the words behind the topic. */
+    /** Handles an operator's request, given as the words that follow the topic. */
     Future<String> onOperatorCall(List<String> words);
 
-    /** The listener is open, or the view has changed. */
+    /** Called when the transport has opened and when the view has changed. */
     void onFleetChange();
   }
 
   /**
-   * @param state how far this front end is with serving clients
+   * @param state supplies the present lifecycle state of this front end
+   * @param log receives lines for the operator's log
    */
   public FleetManager(
       Vertx vertx,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Clock clock,
       Counters counters,
-      ConnectionLimits account,
+      ConnectionLimits connectionLimits,
       FleetOptions options,
       Identity identity,
       Supplier<Lifecycle.State> state,
       Consumer<String> log) {
     this.vertx = vertx;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.clock = clock;
     this.counters = counters;
     this.options = options;
@@ -148,48 +182,48 @@
     this.state = state;
     this.log = log;
     this.random = new Random(identity.seed());
-    this.carrier = new FleetTransport(vertx, clock, counters, account, options, this);
+    this.transport = new FleetTransport(vertx, clock, counters, connectionLimits, options, this);
   }
 
   /**
-   * Takes the address as soon as it is free, and begins; nobody waits for it.
+   * Starts to bind the address, in the background until it is free, and then joins the fleet.
    *
-   * @param consul where members are looked for too, and told of this one, or null
+   * @param consul the catalogue in which this member is registered and others are found, or null
    */
   public void start(ConsulSource consul) {
     this.consul = consul;
     bind(true);
   }
 
-  private void bind(boolean first) {
-    if (over) {
+  private void bind(boolean firstAttempt) {
+    if (stopped) {
       return;
     }
-    carrier
+    transport
         .listen()
         .onSuccess(
             port -> {
-              if (over) {
-                carrier.close();
+              if (stopped) {
+                transport.close();
                 return;
               }
               advertised =
                   options.advertise().isEmpty()
                       ? options.listen().host() + ":" + port
                       : options.advertise();
-              begin();
+              join();
             })
         .onFailure(
             e -> {
-              if (first) {
+              if (firstAttempt) {
                 log.accept(
-                    "fleet: " + options.listen() + " is not to be had yet: " + e.getMessage());
+                    "fleet: cannot listen on " + options.listen() + " yet: " + e.getMessage());
               }
-              vertx.setTimer(BIND_MILLIS, t -> bind(false));
+              vertx.setTimer(BIND_RETRY_MILLIS, t -> bind(false));
             });
   }
 
-  private void begin() {
+  private void join() {
     MembershipSettings settings =
         new MembershipSettings(
             options.name(),
@@ -204,29 +238,32 @@
             options.members(),
             identity.frontEndCount(),
             true);
-    SplittableRandom drawn = new SplittableRandom(identity.seed());
+    SplittableRandom seeded = new SplittableRandom(identity.seed());
     membership =
-        new Membership(settings, identity.name(), drawn.nextLong(), about(), drawn.split(), this);
+        new Membership(settings, identity.name(), seeded.nextLong(), about(), seeded.split(), this);
     membership.start(clock.now());
     log.accept(
         "fleet: member " + identity.name() + " of " + options.name() + " listens on " + advertised);
-    refresh();
-    beat();
-    guests.values().forEach(TopicHandler::onFleetChange);
+    updateFleetSize();
+    update();
+    handlers.values().forEach(TopicHandler::onFleetChange);
     if (consul != null) {
       consul.announce(advertised);
-      look();
+      refreshSeeds();
     }
   }
 
+  /** Returns the metadata to publish about this front end. */
   private About about() {
-    Lifecycle.State own = state.get();
-    About.State told =
-        own == Lifecycle.State.HANDING_OVER ? About.State.SERVING : About.State.valueOf(own.name());
+    Lifecycle.State current = state.get();
+    About.State published =
+        current == Lifecycle.State.HANDING_OVER
+            ? About.State.SERVING
+            : About.State.valueOf(current.name());
     return new About(
         identity.hall(),
         advertised,
-        told,
+        published,
         identity.factAddress(),
         identity.operatorAddress(),
         options.release(),
@@ -234,43 +271,46 @@
         false);
   }
 
-  /** Tells what has changed here, and what passes with time alone. */
-  private void beat() {
-    if (over) {
+  /** Publishes what has changed in this front end and computes what depends on time alone. */
+  private void update() {
+    if (stopped) {
       return;
     }
     long now = clock.now();
-    long every = Math.max(TRAFFIC_MICROS, membership.livingCount() * TRAFFIC_MICROS_EACH);
-    if (now - trafficAt >= every) {
-      long taken = counters.get(Count.CALLS_TAKEN);
-      int lately = (int) ((taken - takenBefore) * 1_000_000 / Math.max(1, now - trafficAt));
-      traffic = Math.abs(lately - traffic) > TRAFFIC_CHANGE * traffic ? lately : traffic;
-      takenBefore = taken;
-      trafficAt = now;
+    long interval =
+        Math.max(
+            TRAFFIC_INTERVAL_MICROS, membership.livingCount() * TRAFFIC_INTERVAL_MICROS_PER_MEMBER);
+    if (now - trafficMeasuredAt >= interval) {
+      long calls = counters.get(Count.CALLS_TAKEN);
+      int recent =
+          (int) ((calls - previousCalls) * 1_000_000 / Math.max(1, now - trafficMeasuredAt));
+      traffic = Math.abs(recent - traffic) > MIN_TRAFFIC_CHANGE * traffic ? recent : traffic;
+      previousCalls = calls;
+      trafficMeasuredAt = now;
     }
     membership.updateSelf(now, about());
-    refresh();
-    vertx.setTimer(BEAT_MILLIS, t -> beat());
+    updateFleetSize();
+    vertx.setTimer(UPDATE_INTERVAL_MILLIS, t -> update());
   }
 
-  /** Tells the owner by how much is divided, at once where that has changed. */
-  private void refresh() {
+  /** Passes the size of the fleet and the divisor to the dispatch loop if they have changed. */
+  private void updateFleetSize() {
     long now = clock.now();
-    double nowCounted = membership.frontEndCount(now);
-    double nowDivisor = membership.divisor(now);
-    if (nowCounted != counted || nowDivisor != divisor) {
-      counted = nowCounted;
-      divisor = nowDivisor;
-      owner.setFleetSize(counted, divisor);
+    double newFrontEndCount = membership.frontEndCount(now);
+    double newDivisor = membership.divisor(now);
+    if (newFrontEndCount != frontEndCount || newDivisor != divisor) {
+      frontEndCount = newFrontEndCount;
+      divisor = newDivisor;
+      dispatchLoop.setFleetSize(frontEndCount, divisor);
     }
     if (membership.livingCount() > 0) {
-      met.tryComplete();
+      firstContact.tryComplete();
     }
   }
 
-  /** Asks the catalogue now and then; while it is silent, what it said last holds. */
-  private void look() {
-    if (over) {
+  /** Polls the catalogue for seeds; while it does not answer, the last seeds stay in use. */
+  private void refreshSeeds() {
+    if (stopped) {
       return;
     }
     consul
@@ -285,20 +325,21 @@
             r ->
                 vertx.setTimer(
                     r.failed()
-                        ? BEAT_MILLIS
-                        : SEEDS_MILLIS / 2 + random.nextInt((int) SEEDS_MILLIS),
-                    t -> look()));
+                        ? UPDATE_INTERVAL_MILLIS
+                        : SEED_REFRESH_MILLIS / 2 + random.nextInt((int) SEED_REFRESH_MILLIS),
+                    t -> refreshSeeds()));
   }
 
-  // ---------------------------------------------------------------- what others want of the view
+  // ---------------------------------------------------------------- facts and departure
 
   /**
-   * Those that live and tell what they know, those of the own hall first; given as soon as one is
-   * met, or after a moment.
+   * Returns the fact addresses of the living members, those of the own hall first. The future
+   * completes at the first contact with another member, at the latest after a short timeout.
    */
   public Future<List<SocketAddress>> factPeers() {
-    long timer = vertx.setTimer(MEET_MILLIS, t -> met.tryComplete());
-    return met.future()
+    long timer = vertx.setTimer(FIRST_CONTACT_TIMEOUT_MILLIS, t -> firstContact.tryComplete());
+    return firstContact
+        .future()
         .map(
             v -> {
               vertx.cancelTimer(timer);
@@ -311,42 +352,45 @@
                   .forEach(
                       p -> {
                         if (p.claim().status() == Claim.Status.ALIVE
-                            && !p.claim().about().learning().isEmpty()) {
+                            && !p.claim().about().factAddress().isEmpty()) {
                           living.add(p);
                         }
                       });
-              Collections.shuffle(
-                  living, random); // guards one of them against all that start at once
+              // Shuffled, so that members started together do not all ask the same one.
+              Collections.shuffle(living, random);
               living.sort(
                   Comparator.comparing(p -> !p.claim().about().hall().equals(identity.hall())));
               List<SocketAddress> addresses = new ArrayList<>();
               for (Peer p : living) {
-                String a = p.claim().about().learning();
-                int colon = a.lastIndexOf(':');
-                if (colon > 0 && a.substring(colon + 1).matches("\\d{1,5}")) {
+                String address = p.claim().about().factAddress();
+                int colon = address.lastIndexOf(':');
+                if (colon > 0 && address.substring(colon + 1).matches("\\d{1,5}")) {
                   addresses.add(
                       SocketAddress.inetSocketAddress(
-                          Integer.parseInt(a.substring(colon + 1)), a.substring(0, colon)));
+                          Integer.parseInt(address.substring(colon + 1)),
+                          address.substring(0, colon)));
                 }
               }
               return addresses;
             });
   }
 
-  /** Where others reach it; null until it listens. */
+  /** The address that other members use; null until the transport listens. */
   public String address() {
     return advertised;
   }
 
   /**
-   * Says good-bye; {@code succeeded} where another process is this member from now on, which is
-   * told nobody.
+   * Leaves the fleet.
+   *
+   * @param succeeded whether another process takes over the name of this member, in which case the
+   *     departure is not announced
    */
   public void leave(boolean succeeded) {
-    if (over) {
+    if (stopped) {
       return;
     }
-    over = true;
+    stopped = true;
     if (membership != null) {
       if (succeeded) {
         membership.stop();
@@ -357,32 +401,33 @@
     timers.values().forEach(vertx::cancelTimer);
     timers.clear();
     if (succeeded || membership == null) {
-      closeCarrier();
+      closeTransport();
     } else {
-      vertx.setTimer(BIND_MILLIS / 5, t -> closeCarrier()); // the good-bye goes out first
+      vertx.setTimer(LEAVE_DELAY_MILLIS, t -> closeTransport());
     }
   }
 
-  private void closeCarrier() {
+  private void closeTransport() {
     if (advertised != null) {
-      carrier.close();
+      transport.close();
     }
   }
 
-  // ---------------------------------------------------------------- parts that use the listener
+  // ---------------------------------------------------------------- topics
 
-  /** Takes in what comes for a topic from now on. */
-  public void registerTopic(String topic, TopicHandler guest) {
-    guests.put(topic, guest);
+  /** Registers the handler of a topic. */
+  public void registerTopic(String topic, TopicHandler handler) {
+    handlers.put(topic, handler);
   }
 
-  /** Whether the listener is open and this member speaks. */
+  /** Whether the transport is open and this member takes part in the fleet. */
   public boolean isOpen() {
-    return membership != null && !over;
+    return membership != null && !stopped;
   }
 
   /**
-   * Sends to a member by name; where nobody knows its address, or it is lost, nothing comes of it.
+   * Sends a topic message to a member by name. Nothing reports its loss; it is dropped where the
+   * address of the member is not known.
    */
   public void sendToMember(String topic, String member, byte[] body) {
     if (!isOpen()) {
@@ -397,21 +442,21 @@
             .filter(p -> p.claim().name().equals(member))
             .map(p -> p.claim().about().address())
             .findFirst()
-            .orElse(addresses.get(member));
+            .orElse(senderAddresses.get(member));
     if (address != null) {
-      carrier.send(
+      transport.send(
           address, new FleetCodec.TopicMessage(topic, member, identity.name(), advertised, body));
     }
   }
 
   private void deliver(String topic, String from, byte[] body) {
-    TopicHandler guest = guests.get(topic);
-    if (guest != null && !over) {
-      guest.onTopicMessage(from, body);
+    TopicHandler handler = handlers.get(topic);
+    if (handler != null && !stopped) {
+      handler.onTopicMessage(from, body);
     }
   }
 
-  /** All other members, the dead included. */
+  /** All other members, including dead ones and those that left. */
   public Collection<Peer> peers() {
     return isOpen() ? membership.peers() : List.of();
   }
@@ -420,141 +465,142 @@
     return identity.name();
   }
 
+  /** Whether this process has given up its name to another one. */
   public boolean hasYielded() {
     return isOpen() && membership.hasYielded();
   }
 
-  // ---------------------------------------------------------------- what the carrier brings
+  // ---------------------------------------------------------------- transport events
 
   @Override
-  public void onTopicMessage(FleetCodec.TopicMessage p) {
-    if (p.to().equals(identity.name())) {
-      addresses.put(p.from(), p.address());
-      deliver(p.topic(), p.from(), p.body());
+  public void onTopicMessage(FleetCodec.TopicMessage message) {
+    if (message.recipient().equals(identity.name())) {
+      senderAddresses.put(message.sender(), message.senderAddress());
+      deliver(message.topic(), message.sender(), message.body());
     }
   }
 
   @Override
   public Future<String> onOperatorCall(String words) {
     List<String> all = List.of(words.trim().split("\\s+"));
-    TopicHandler guest = guests.get(all.get(0));
-    return guest == null
+    TopicHandler handler = handlers.get(all.get(0));
+    return handler == null
         ? Future.failedFuture("'" + all.get(0) + "' is not switched on here")
-        : guest.onOperatorCall(all.subList(1, all.size()));
+        : handler.onOperatorCall(all.subList(1, all.size()));
   }
 
   @Override
-  public void onMessage(GossipMessage m) {
-    if (!over) {
-      membership.receive(clock.now(), m);
+  public void onMessage(GossipMessage message) {
+    if (!stopped) {
+      membership.receive(clock.now(), message);
     }
   }
 
   @Override
   public boolean canExchange() {
-    return owner.isKeepingUp() && !over && membership != null;
+    return dispatchLoop.isKeepingUp() && !stopped && membership != null;
   }
 
   @Override
   public List<Claim> merge(List<Claim> theirs) {
     membership.merge(clock.now(), theirs);
-    refresh();
+    updateFleetSize();
     return membership.claims(clock.now());
   }
 
   @Override
   public String leave() {
-    boolean goes = !over;
-    journal.log("left by hand", Map.of("member", identity.name()));
+    boolean leaves = !stopped;
+    eventLog.log("left by hand", Map.of("member", identity.name()));
     vertx.setTimer(1, t -> leave(false));
-    return goes ? "{\"left\":true}" : "{\"left\":false}";
+    return leaves ? "{\"left\":true}" : "{\"left\":false}";
   }
 
   @Override
   public String view() {
     long now = clock.now();
-    JsonObject o = new JsonObject();
+    JsonObject json = new JsonObject();
     if (membership == null) {
-      return o.toString();
+      return json.toString();
     }
-    o.addProperty("fleet", options.name());
-    o.addProperty("member", identity.name());
-    o.addProperty("doubts", membership.localHealthScore());
-    o.addProperty("yielded", membership.hasYielded());
-    o.addProperty("counted", counted);
-    o.addProperty("divisor", divisor);
+    json.addProperty("fleet", options.name());
+    json.addProperty("member", identity.name());
+    json.addProperty("doubts", membership.localHealthScore());
+    json.addProperty("yielded", membership.hasYielded());
+    json.addProperty("counted", frontEndCount);
+    json.addProperty("divisor", divisor);
     JsonArray members = new JsonArray();
-    members.add(line(membership.self(), "self"));
+    members.add(memberJson(membership.self(), "self"));
     for (Peer p : membership.peers()) {
-      JsonObject m = line(p.claim(), p.claim().status().name().toLowerCase(Locale.ROOT));
-      m.addProperty("since_ms", (now - p.since()) / MS);
-      m.addProperty("heard_ms", p.heardAt() == 0 ? -1 : (now - p.heardAt()) / MS);
-      m.addProperty("round_trip_us", p.roundTrip());
-      JsonArray by = new JsonArray();
-      p.accusers().forEach(by::add);
-      m.add("suspected_by", by);
-      members.add(m);
+      JsonObject member = memberJson(p.claim(), p.claim().status().name().toLowerCase(Locale.ROOT));
+      member.addProperty("since_ms", (now - p.statusSince()) / MS);
+      member.addProperty("heard_ms", p.lastHeardAt() == 0 ? -1 : (now - p.lastHeardAt()) / MS);
+      member.addProperty("round_trip_us", p.roundTrip());
+      JsonArray accusers = new JsonArray();
+      p.accusers().forEach(accusers::add);
+      member.add("suspected_by", accusers);
+      members.add(member);
     }
-    o.add("members", members);
-    return o.toString();
+    json.add("members", members);
+    return json.toString();
   }
 
-  private static JsonObject line(Claim c, String status) {
-    JsonObject m = new JsonObject();
-    m.addProperty("name", c.name());
-    m.addProperty("status", status);
-    m.addProperty("life", c.life().toString());
-    m.addProperty("incarnation", c.incarnation());
-    About a = c.about();
-    m.addProperty("hall", a.hall());
-    m.addProperty("address", a.address());
-    m.addProperty("state", a.state().name().toLowerCase(Locale.ROOT));
-    m.addProperty("learning", a.learning());
-    m.addProperty("door", a.door());
-    m.addProperty("release", a.release());
-    m.addProperty("traffic", a.traffic());
-    return m;
+  private static JsonObject memberJson(Claim claim, String status) {
+    JsonObject member = new JsonObject();
+    member.addProperty("name", claim.name());
+    member.addProperty("status", status);
+    member.addProperty("life", claim.generation().toString());
+    member.addProperty("incarnation", claim.incarnation());
+    About about = claim.about();
+    member.addProperty("hall", about.hall());
+    member.addProperty("address", about.address());
+    member.addProperty("state", about.state().name().toLowerCase(Locale.ROOT));
+    member.addProperty("learning", about.factAddress());
+    member.addProperty("door", about.operatorAddress());
+    member.addProperty("release", about.release());
+    member.addProperty("traffic", about.traffic());
+    return member;
   }
 
-  // ---------------------------------------------------------------- what the membership wants
+  // ---------------------------------------------------------------- membership actions
 
   @Override
   public void send(String address, GossipMessage message) {
-    carrier.send(address, message);
+    transport.send(address, message);
   }
 
   @Override
   public void exchange(String address) {
-    if (!owner.isKeepingUp()
-        && membership.livingCount() > 0) { // calls come first, but a start is always late
+    // Calls have priority over exchanges, except while joining: the loop always lags at start.
+    if (!dispatchLoop.isKeepingUp() && membership.livingCount() > 0) {
       membership.onUnreachable(address, false);
       return;
     }
-    carrier
+    transport
         .exchange(address, membership.claims(clock.now()))
         .onSuccess(
             theirs -> {
               membership.onExchange(clock.now(), address, theirs);
-              refresh();
+              updateFleetSize();
             })
         .onFailure(
             e ->
                 membership.onUnreachable(
-                    address, e instanceof FleetTransport.Unreachable u && u.refused));
+                    address, e instanceof FleetTransport.UnreachableException u && u.refused));
   }
 
   @Override
   public void startTimer(MembershipTimer timer, long at) {
     cancelTimer(timer);
-    long wait = Math.max(1, (at - clock.now() + MS - 1) / MS);
+    long delay = Math.max(1, (at - clock.now() + MS - 1) / MS);
     timers.put(
         timer,
         vertx.setTimer(
-            wait,
+            delay,
             t -> {
               timers.remove(timer);
               long now = clock.now();
-              membership.onTimer(now, timer, Math.max(now - at, owner.lag()));
+              membership.onTimer(now, timer, Math.max(now - at, dispatchLoop.lag()));
             }));
   }
 
@@ -567,29 +613,30 @@
   }
 
   @Override
-  public void onMembershipChange(MembershipChange c) {
+  public void onMembershipChange(MembershipChange change) {
     counters.add(Count.FLEET_CHANGES);
-    switch (c.kind()) {
+    switch (change.kind()) {
       case CLASH, YIELDED -> counters.add(Count.FLEET_CLASHES);
       case ACCUSED_SELF -> counters.add(Count.FLEET_ACCUSED);
       default -> {}
     }
-    Claim claim = c.claim();
-    Map<String, Object> figures = new LinkedHashMap<>();
-    figures.put("member", claim.name());
-    figures.put("life", claim.life().toString());
-    figures.put("incarnation", claim.incarnation());
-    figures.put("hall", claim.about().hall());
-    figures.put("address", claim.about().address());
-    figures.put("state", claim.about().state().name().toLowerCase(Locale.ROOT));
-    figures.put("by", c.by());
-    figures.put("living", membership.livingCount() + 1);
-    journal.log(c.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '), figures);
+    Claim claim = change.claim();
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("member", claim.name());
+    fields.put("life", claim.generation().toString());
+    fields.put("incarnation", claim.incarnation());
+    fields.put("hall", claim.about().hall());
+    fields.put("address", claim.about().address());
+    fields.put("state", claim.about().state().name().toLowerCase(Locale.ROOT));
+    fields.put("by", change.by());
+    fields.put("living", membership.livingCount() + 1);
+    eventLog.log(change.kind().name().toLowerCase(Locale.ROOT).replace('_', ' '), fields);
+    // Deferred until the message that caused the change has been processed.
     vertx.runOnContext(
         v -> {
-          if (!over) {
-            refresh(); // once the message that changed it is worked off
-            guests.values().forEach(TopicHandler::onFleetChange);
+          if (!stopped) {
+            updateFleetSize();
+            handlers.values().forEach(TopicHandler::onFleetChange);
           }
         });
   }
--- a/src/main/java/umberrun/fleet/net/FleetTransport.java
+++ b/src/main/java/umberrun/fleet/net/FleetTransport.java
@@ -33,60 +33,60 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Datagrams and full exchanges on one address, on the one event loop and within bounds of packets
- * and bytes a second: what is beyond them is dropped and counted, as it would be by a poor link.
+ * Sends and receives datagrams and full exchanges on one address, on the event loop. Packets and
+ * bytes per second are limited; what exceeds a limit is dropped and counted, as if the network had
+ * lost it.
  */
 final class FleetTransport {
-  /** Who takes what comes in. */
+  /** Handles incoming messages and requests. */
   interface Listener {
-    void onMessage(GossipMessage m);
+    void onMessage(GossipMessage message);
 
-    /** Whether there is time for a full exchange: calls come first. */
+    /** Whether the event loop has time for a full exchange; calls have priority. */
     boolean canExchange();
 
-    /** Takes in what another tells; what to tell it. */
+    /** Applies the claims of another member and returns those to send back. */
     List<Claim> merge(List<Claim> theirs);
 
-    /** The view as text, for an operator. */
+    /** Returns the view as JSON, for an operator. */
     String view();
 
-    /** An operator has this member leave. */
+    /** Handles an operator's request to leave the fleet; returns the answer as JSON. */
     String leave();
 
-    /** A parcel came for a part that uses the listener. */
-    void onTopicMessage(TopicMessage p);
+    void onTopicMessage(TopicMessage message);
 
-    /** An operator calls such a part; its answer comes soon. */
+    /** Handles an operator's request to a topic; the future completes with the answer. */
     Future<String> onOperatorCall(String words);
   }
 
-  /**
-   * The exchange did not come about; {@code refused} where the machine answers and nobody listens.
-   */
-  static final class Unreachable extends Exception {
+  /** Thrown when a full exchange failed. */
+  static final class UnreachableException extends Exception {
     private static final long serialVersionUID = 1;
+
+    /** Whether the machine refused the connection, so that no process listens there. */
     final boolean refused;
 
-    Unreachable(String message, boolean refused) {
+    UnreachableException(String message, boolean refused) {
       super(message, null, false, false);
       this.refused = refused;
     }
   }
 
-  private static final int EXCHANGE_MILLIS = 2_000;
-  private static final int CONNECT_MILLIS = 1_000;
-  private static final int IDLE_SECONDS = 3;
+  private static final int EXCHANGE_TIMEOUT_MILLIS = 2_000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
+  private static final int IDLE_TIMEOUT_SECONDS = 3;
 
-  /** A claim in a frame, in bytes, to know beforehand what an exchange costs. */
-  private static final int CLAIM_BYTES = 130;
+  /** The typical size of a claim in a frame, to estimate the bytes of an exchange in advance. */
+  private static final int ESTIMATED_CLAIM_BYTES = 130;
 
   private final Vertx vertx;
   private final Clock clock;
   private final Counters counters;
-  private final ConnectionLimits account;
+  private final ConnectionLimits connectionLimits;
   private final FleetOptions options;
   private final FleetCodec codec;
-  private final Listener hearer;
+  private final Listener listener;
   private final NetClient client;
   private final TokenBucket packetsOut;
   private final TokenBucket packetsIn;
@@ -99,19 +99,19 @@
       Vertx vertx,
       Clock clock,
       Counters counters,
-      ConnectionLimits account,
+      ConnectionLimits connectionLimits,
       FleetOptions options,
-      Listener hearer) {
+      Listener listener) {
     this.vertx = vertx;
     this.clock = clock;
     this.counters = counters;
-    this.account = account;
+    this.connectionLimits = connectionLimits;
     this.options = options;
     this.codec = new FleetCodec(options.name());
-    this.hearer = hearer;
+    this.listener = listener;
     this.client =
         vertx.createNetClient(
-            new NetClientOptions().setConnectTimeout(CONNECT_MILLIS).setTcpNoDelay(true));
+            new NetClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS).setTcpNoDelay(true));
     long now = clock.now();
     packetsOut = new TokenBucket(options.packetsPerSecond(), options.packetsPerSecond(), now);
     packetsIn = new TokenBucket(options.packetsPerSecond(), options.packetsPerSecond(), now);
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Takes the address, both for connections and for datagrams; the port. Neither is held where it
-   * fails.
+   * Opens the TCP and UDP sockets on the configured address. The future completes with the port; if
+   * it fails, neither socket stays open.
    */
   Future<Integer> listen() {
     server =
@@ -130,16 +130,16 @@
                 new NetServerOptions()
                     .setTcpNoDelay(true)
                     .setReuseAddress(true)
-                    .setIdleTimeout(IDLE_SECONDS))
+                    .setIdleTimeout(IDLE_TIMEOUT_SECONDS))
             .connectHandler(this::accept);
-    datagrams = vertx.createDatagramSocket(new DatagramSocketOptions()).handler(this::datagram);
+    datagrams = vertx.createDatagramSocket(new DatagramSocketOptions()).handler(this::onDatagram);
     return server
         .listen(options.listen())
         .compose(s -> datagrams.listen(s.actualPort(), options.listen().host()).map(s.actualPort()))
         .onFailure(e -> close());
   }
 
-  /** Lets go of the address at once. */
+  /** Closes both sockets at once. */
   void close() {
     server.close();
     datagrams.close();
@@ -147,9 +147,10 @@
 
   // ---------------------------------------------------------------- datagrams
 
-  void send(String address, GossipMessage m) {
-    SocketAddress to = way(address);
-    byte[] bytes = codec.encode(m);
+  /** Sends a datagram of the membership protocol; nothing reports its loss. */
+  void send(String address, GossipMessage message) {
+    SocketAddress to = resolve(address);
+    byte[] bytes = codec.encode(message);
     if (to == null
         || packetsOut.take(1, clock.now()) > 0
         || bytesOut.take(bytes.length, clock.now()) > 0) {
@@ -159,13 +160,16 @@
     counters.add(Count.FLEET_PACKETS_SENT);
     datagrams
         .send(Buffer.buffer(bytes), to.port(), to.host())
-        .onFailure(e -> counters.add(Count.FLEET_PACKETS_DROPPED)); // as if lost on the way
+        .onFailure(e -> counters.add(Count.FLEET_PACKETS_DROPPED));
   }
 
-  /** Sends a parcel: as a datagram where it fits one. Where it is lost, nobody is told. */
-  void send(String address, TopicMessage p) {
-    byte[] bytes = codec.encode(p);
-    SocketAddress to = way(address);
+  /**
+   * Sends a topic message, as a datagram if it fits into one and over a connection otherwise;
+   * nothing reports its loss.
+   */
+  void send(String address, TopicMessage message) {
+    byte[] bytes = codec.encode(message);
+    SocketAddress to = resolve(address);
     if (to == null
         || packetsOut.take(1, clock.now()) > 0
         || bytesOut.take(bytes.length, clock.now()) > 0) {
@@ -175,21 +179,20 @@
       datagrams
           .send(Buffer.buffer(bytes), to.port(), to.host())
           .onFailure(e -> counters.add(Count.FLEET_PACKETS_DROPPED));
-    } else if (bytes.length <= FleetCodec.MAX_FRAME_BYTES && account.tryAcquire(Purpose.PEERS)) {
+    } else if (bytes.length <= FleetCodec.MAX_FRAME_BYTES
+        && connectionLimits.tryAcquire(Purpose.PEERS)) {
       client
           .connect(to)
-          .onFailure(e -> account.release(Purpose.PEERS))
+          .onFailure(e -> connectionLimits.release(Purpose.PEERS))
           .onSuccess(
               socket -> {
-                long timer =
-                    vertx.setTimer(
-                        EXCHANGE_MILLIS,
-                        t -> socket.close()); // guards the place against one that does not read
+                // A receiver that does not read must not hold the connection for ever.
+                long timer = vertx.setTimer(EXCHANGE_TIMEOUT_MILLIS, t -> socket.close());
                 socket.exceptionHandler(e -> socket.close());
                 socket.closeHandler(
                     v -> {
                       vertx.cancelTimer(timer);
-                      account.release(Purpose.PEERS);
+                      connectionLimits.release(Purpose.PEERS);
                     });
                 FrameStream.send(socket, bytes).onSuccess(v -> socket.close());
               });
@@ -198,44 +201,48 @@
     }
   }
 
-  private void datagram(DatagramPacket p) {
-    if (packetsIn.take(1, clock.now()) > 0 || bytesIn.take(p.data().length(), clock.now()) > 0) {
+  private void onDatagram(DatagramPacket packet) {
+    if (packetsIn.take(1, clock.now()) > 0
+        || bytesIn.take(packet.data().length(), clock.now()) > 0) {
       counters.add(Count.FLEET_PACKETS_DROPPED);
       return;
     }
     try {
-      byte[] bytes = p.data().getBytes();
-      TopicMessage parcel = codec.decodeTopicMessage(bytes);
-      if (parcel != null) {
+      byte[] bytes = packet.data().getBytes();
+      TopicMessage topicMessage = codec.decodeTopicMessage(bytes);
+      if (topicMessage != null) {
         counters.add(Count.FLEET_PACKETS_TAKEN);
-        hearer.onTopicMessage(parcel);
+        listener.onTopicMessage(topicMessage);
         return;
       }
-      GossipMessage m = codec.decodeMessage(bytes);
+      GossipMessage message = codec.decodeMessage(bytes);
       counters.add(Count.FLEET_PACKETS_TAKEN);
-      hearer.onMessage(m);
+      listener.onMessage(message);
     } catch (UndecodableException e) {
-      unusable(e);
+      countUndecodable(e);
     }
   }
 
-  private void unusable(UndecodableException e) {
+  private void countUndecodable(UndecodableException e) {
     counters.add(e.foreign ? Count.FLEET_FOREIGN : Count.FLEET_UNREADABLE);
   }
 
-  /** Where to send for an address; null where it is none, as names are not looked up. */
-  private SocketAddress way(String address) {
-    String to = options.via().getOrDefault(address, address);
-    int colon = to.lastIndexOf(':');
+  /**
+   * Returns the socket address for a member address, with the configured substitutions applied;
+   * null if it is not an IP address with a port, as host names are not resolved.
+   */
+  private SocketAddress resolve(String address) {
+    String target = options.via().getOrDefault(address, address);
+    int colon = target.lastIndexOf(':');
     if (colon <= 0
-        || !NetUtil.isValidIpV4Address(to.substring(0, colon))
-            && !NetUtil.isValidIpV6Address(to.substring(0, colon))) {
+        || !NetUtil.isValidIpV4Address(target.substring(0, colon))
+            && !NetUtil.isValidIpV6Address(target.substring(0, colon))) {
       return null;
     }
     try {
-      int port = Integer.parseInt(to.substring(colon + 1));
+      int port = Integer.parseInt(target.substring(colon + 1));
       return port > 0 && port <= 65_535
-          ? SocketAddress.inetSocketAddress(port, to.substring(0, colon))
+          ? SocketAddress.inetSocketAddress(port, target.substring(0, colon))
           : null;
     } catch (NumberFormatException e) {
       return null;
@@ -245,120 +252,122 @@
   // ---------------------------------------------------------------- full exchanges
 
   /**
-   * Tells all to an address; what it tells in turn. Fails with {@link Unreachable}, and within a
-   * bound of time.
+   * Sends the given claims to an address and completes with the claims that it sends back. Fails
+   * with {@link UnreachableException}, at the latest after the timeouts for the connection and the
+   * exchange.
    */
   Future<List<Claim>> exchange(String address, List<Claim> mine) {
-    SocketAddress to = way(address);
+    SocketAddress to = resolve(address);
     if (to == null
-        || bytesOut.take((double) CLAIM_BYTES * mine.size(), clock.now()) > 0
-        || !account.tryAcquire(Purpose.PEERS)) {
+        || bytesOut.take((double) ESTIMATED_CLAIM_BYTES * mine.size(), clock.now()) > 0
+        || !connectionLimits.tryAcquire(Purpose.PEERS)) {
       return Future.failedFuture(
-          new Unreachable("no address, or nothing left to spend on it", false));
+          new UnreachableException(
+              "invalid address, or a limit of bytes or connections is reached", false));
     }
     counters.add(Count.FLEET_EXCHANGES);
-    Promise<List<Claim>> told = Promise.promise();
+    Promise<List<Claim>> result = Promise.promise();
     client
         .connect(to)
         .onFailure(
             e -> {
-              account.release(Purpose.PEERS);
-              told.tryFail(
-                  new Unreachable(
+              connectionLimits.release(Purpose.PEERS);
+              result.tryFail(
+                  new UnreachableException(
                       String.valueOf(e.getMessage()),
                       e instanceof ConnectException && !(e instanceof ConnectTimeoutException)));
             })
         .onSuccess(
             socket -> {
-              long timer = vertx.setTimer(EXCHANGE_MILLIS, t -> socket.close());
+              long timer = vertx.setTimer(EXCHANGE_TIMEOUT_MILLIS, t -> socket.close());
               List<Claim> theirs = new ArrayList<>();
-              FrameStream frames =
+              FrameStream stream =
                   new FrameStream(
                       codec,
                       socket,
-                      p -> {},
-                      f -> {
-                        if (collected(theirs, f)) {
-                          told.tryComplete(theirs);
+                      topicMessage -> {},
+                      frame -> {
+                        if (collect(theirs, frame)) {
+                          result.tryComplete(theirs);
                           socket.close();
                         }
                       },
-                      this::unusable);
+                      this::countUndecodable);
               socket.exceptionHandler(e -> socket.close());
               socket.closeHandler(
                   v -> {
                     vertx.cancelTimer(timer);
-                    account.release(Purpose.PEERS);
-                    told.tryFail(new Unreachable("closed, or not answered in time", false));
+                    connectionLimits.release(Purpose.PEERS);
+                    result.tryFail(
+                        new UnreachableException("the connection was closed or timed out", false));
                   });
-              frames.send(mine);
+              stream.send(mine);
             });
-    return told.future();
+    return result.future();
   }
 
   /**
-   * Guards the memory against a list without an end: what is beyond the members that may be known
-   * is passed over.
+   * Adds the claims of a frame to a list; returns whether the list is complete. Claims beyond the
+   * configured number of members are ignored, so that an endless list can't exhaust the memory.
    */
-  private boolean collected(List<Claim> all, Frame f) {
-    if (f.kind() != Frame.Kind.SYNC) {
+  private boolean collect(List<Claim> claims, Frame frame) {
+    if (frame.kind() != Frame.Kind.SYNC) {
       return false;
     }
-    if (all.size() <= options.members()) {
-      all.addAll(f.claims());
+    if (claims.size() <= options.members()) {
+      claims.addAll(frame.claims());
     }
-    return f.last();
+    return frame.last();
   }
 
   private void accept(NetSocket socket) {
-    if (!account.tryAcquire(
-        Purpose.PEERS)) { // guards the descriptors: others can ask somebody else
+    // The file descriptors are limited; the other member can exchange with somebody else.
+    if (!connectionLimits.tryAcquire(Purpose.PEERS)) {
       socket.close();
       return;
     }
-    long timer =
-        vertx.setTimer(
-            EXCHANGE_MILLIS,
-            t -> socket.close()); // guards the place against one that is slow for ever
+    // A slow sender must not hold the connection for ever.
+    long timer = vertx.setTimer(EXCHANGE_TIMEOUT_MILLIS, t -> socket.close());
     socket.exceptionHandler(e -> socket.close());
     socket.closeHandler(
         v -> {
           vertx.cancelTimer(timer);
-          account.release(Purpose.PEERS);
+          connectionLimits.release(Purpose.PEERS);
         });
     List<Claim> theirs = new ArrayList<>();
-    FrameStream[] self = new FrameStream[1];
-    self[0] =
+    FrameStream[] stream = new FrameStream[1];
+    stream[0] =
         new FrameStream(
             codec,
             socket,
-            hearer::onTopicMessage,
-            f -> {
-              if (!hearer.canExchange() && f.kind() == Frame.Kind.SYNC) {
+            listener::onTopicMessage,
+            frame -> {
+              if (!listener.canExchange() && frame.kind() == Frame.Kind.SYNC) {
                 socket.close();
-              } else if (f.kind() == Frame.Kind.CALL) {
-                hearer
-                    .onOperatorCall(f.text())
+              } else if (frame.kind() == Frame.Kind.CALL) {
+                listener
+                    .onOperatorCall(frame.text())
                     .onComplete(
-                        text -> self[0].send(f.kind(), text),
+                        answer -> stream[0].send(frame.kind(), answer),
                         e ->
-                            self[0].send(
-                                f.kind(),
+                            stream[0].send(
+                                frame.kind(),
                                 "{\"fault\":"
                                     + new JsonPrimitive(String.valueOf(e.getMessage()))
                                     + "}"));
-              } else if (f.kind() != Frame.Kind.SYNC) {
-                self[0].send(
-                    f.kind(), f.kind() == Frame.Kind.VIEW ? hearer.view() : hearer.leave());
-              } else if (collected(theirs, f)) {
-                List<Claim> mine = hearer.merge(theirs);
-                if (bytesOut.take((double) CLAIM_BYTES * mine.size(), clock.now()) > 0) {
+              } else if (frame.kind() != Frame.Kind.SYNC) {
+                stream[0].send(
+                    frame.kind(),
+                    frame.kind() == Frame.Kind.VIEW ? listener.view() : listener.leave());
+              } else if (collect(theirs, frame)) {
+                List<Claim> mine = listener.merge(theirs);
+                if (bytesOut.take((double) ESTIMATED_CLAIM_BYTES * mine.size(), clock.now()) > 0) {
                   socket.close();
                 } else {
-                  self[0].send(mine);
+                  stream[0].send(mine);
                 }
               }
             },
-            this::unusable);
+            this::countUndecodable);
   }
 }
--- a/src/main/java/umberrun/fleet/net/FrameStream.java
+++ b/src/main/java/umberrun/fleet/net/FrameStream.java
@@ -13,62 +13,66 @@
 import umberrun.fleet.net.FleetCodec.UndecodableException;
 
 /**
- * Frames on one connection: four bytes of length and the content. A long list goes out piece by
- * piece, each when the last is written.
+ * Reads and writes frames on one connection. A frame is its length in four bytes, big-endian, and
+ * the content. A long list of claims or a long text is sent in several frames, each once the
+ * previous one is written.
  */
 final class FrameStream {
   private static final int LENGTH_BYTES = 4;
-  private static final int TEXT_A_FRAME = 32 << 10;
+  private static final int MAX_TEXT_LENGTH_PER_FRAME = 32 << 10;
 
   private final FleetCodec codec;
   private final NetSocket socket;
 
   /**
-   * @param parcel takes each parcel
-   * @param frame takes each frame
-   * @param wrong is told why the connection can't go on; it is closed by then
+   * @param onTopicMessage receives each topic message
+   * @param onFrame receives each other frame
+   * @param onError receives the reason why the input can't be decoded; the connection is closed by
+   *     then
    */
   FrameStream(
       FleetCodec codec,
       NetSocket socket,
-      Consumer<TopicMessage> parcel,
-      Consumer<Frame> frame,
-      Consumer<UndecodableException> wrong) {
+      Consumer<TopicMessage> onTopicMessage,
+      Consumer<Frame> onFrame,
+      Consumer<UndecodableException> onError) {
     this.codec = codec;
     this.socket = socket;
     RecordParser parser = RecordParser.newFixed(LENGTH_BYTES);
-    boolean[] inside = new boolean[1];
+    boolean[] inContent = new boolean[1];
     parser.handler(
-        piece -> {
+        chunk -> {
           try {
-            if (inside[0]) {
-              inside[0] = false;
+            if (inContent[0]) {
+              inContent[0] = false;
               parser.fixedSizeMode(LENGTH_BYTES);
-              byte[] content = piece.getBytes();
-              TopicMessage p = codec.decodeTopicMessage(content);
-              if (p != null) {
-                parcel.accept(p);
+              byte[] content = chunk.getBytes();
+              TopicMessage topicMessage = codec.decodeTopicMessage(content);
+              if (topicMessage != null) {
+                onTopicMessage.accept(topicMessage);
               } else {
-                frame.accept(codec.decodeFrame(content));
+                onFrame.accept(codec.decodeFrame(content));
               }
               return;
             }
-            int length = piece.getInt(0);
-            if (length <= 0 || length > FleetCodec.MAX_FRAME_BYTES) { // guards the memory
-              throw new UndecodableException("a frame of " + length + " bytes", false);
+            int length = chunk.getInt(0);
+            // Bounds the memory that a sender can make this process allocate.
+            if (length <= 0 || length > FleetCodec.MAX_FRAME_BYTES) {
+              throw new UndecodableException(
+                  "frame length of " + length + " bytes is out of range", false);
             }
-            inside[0] = true;
+            inContent[0] = true;
             parser.fixedSizeMode(length);
           } catch (UndecodableException e) {
             socket.close();
-            wrong.accept(e);
+            onError.accept(e);
           }
         });
     socket.handler(parser);
   }
 
-  Future<Void> send(Frame f) {
-    return send(socket, codec.encode(f));
+  Future<Void> send(Frame frame) {
+    return send(socket, codec.encode(frame));
   }
 
   static Future<Void> send(NetSocket socket, byte[] content) {
@@ -78,24 +82,24 @@
             .appendBytes(content));
   }
 
-  /** Sends claims as one full exchange's half. */
+  /** Sends the claims of one side of a full exchange. */
   Future<Void> send(List<Claim> claims) {
-    int most = Math.min(FleetCodec.CLAIMS_A_FRAME, claims.size());
-    boolean last = most == claims.size();
-    Future<Void> sent = send(new Frame(Frame.Kind.SYNC, last, claims.subList(0, most), ""));
-    return last ? sent : sent.compose(v -> send(claims.subList(most, claims.size())));
+    int count = Math.min(FleetCodec.MAX_CLAIMS_PER_FRAME, claims.size());
+    boolean last = count == claims.size();
+    Future<Void> sent = send(new Frame(Frame.Kind.SYNC, last, claims.subList(0, count), ""));
+    return last ? sent : sent.compose(v -> send(claims.subList(count, claims.size())));
   }
 
   /** Sends a text of any length. */
   Future<Void> send(Frame.Kind kind, String text) {
     List<Frame> frames = new ArrayList<>();
-    for (int from = 0; from == 0 || from < text.length(); from += TEXT_A_FRAME) {
-      int to = Math.min(text.length(), from + TEXT_A_FRAME);
+    for (int from = 0; from == 0 || from < text.length(); from += MAX_TEXT_LENGTH_PER_FRAME) {
+      int to = Math.min(text.length(), from + MAX_TEXT_LENGTH_PER_FRAME);
       frames.add(new Frame(kind, to == text.length(), List.of(), text.substring(from, to)));
     }
     Future<Void> sent = Future.succeededFuture();
-    for (Frame f : frames) {
-      sent = sent.compose(v -> send(f));
+    for (Frame frame : frames) {
+      sent = sent.compose(v -> send(frame));
     }
     return sent;
   }
--- a/src/main/java/umberrun/fleet/sim/FleetSimulation.java
+++ b/src/main/java/umberrun/fleet/sim/FleetSimulation.java
@@ -23,12 +23,12 @@
 import umberrun.sim.VirtualNetwork;
 
 /**
- * A fleet on the virtual network: the state machines that the program runs, faults by the hand of a
- * seed or a caller, and checks after each step. A broken check names what broke and when; the seed
- * plays it again.
+ * Simulates a fleet on a {@link VirtualNetwork} with the same {@link Membership} that the program
+ * runs. The caller injects faults; invariants are checked after each step. A run is reproducible
+ * from its seed. Times are in microseconds.
  */
 public final class FleetSimulation {
-  /** Makes a membership; tests put in ones that are broken on purpose. */
+  /** Creates a membership; tests substitute faulty variants. */
   public interface Factory {
     Membership make(
         MembershipSettings settings,
@@ -39,7 +39,7 @@
         MembershipOutbox out);
   }
 
-  /** A check that does not hold. */
+  /** Thrown when a checked invariant does not hold. */
   public static final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -48,22 +48,30 @@
     }
   }
 
-  /** An exchange with a machine that does not answer is given up after this. */
-  private static final long EXCHANGE_MICROS = 2_000_000;
+  /** Timeout of a full exchange with a machine that does not answer. */
+  private static final long EXCHANGE_TIMEOUT_MICROS = 2_000_000;
 
-  /** How long one that stutters goes on between its stops. */
-  private static final long STRIDE = 1_000;
+  /** How long a slow machine runs between two pauses. */
+  private static final long RUN_BETWEEN_PAUSES_MICROS = 1_000;
 
-  private static final long APART = 600_000_000;
-  private static final int FEW = 64;
-  private static final int SELDOM = 64;
+  /** Difference between the clocks of two machines with consecutive numbers. */
+  private static final long CLOCK_OFFSET_MICROS = 600_000_000;
 
-  /** One machine, and the process on it where one runs. */
+  /** Up to this number of machines every step is checked. */
+  private static final int MAX_FULLY_CHECKED_SIZE = 64;
+
+  /** In larger fleets, one step in this many is checked. */
+  private static final int CHECK_INTERVAL_STEPS = 64;
+
+  /** One machine and the process that runs on it; {@code process} is null where none runs. */
   private final class Node implements MembershipOutbox {
     final int number;
     String name;
     final Map<MembershipTimer, VirtualNetwork.ScheduledTask> timers = new HashMap<>();
-    final Map<String, ProcessGeneration> newest = new HashMap<>();
+
+    /** The last generation seen of each member, to check that none goes back. */
+    final Map<String, ProcessGeneration> lastGenerations = new HashMap<>();
+
     Membership process;
 
     Node(int number) {
@@ -71,17 +79,17 @@
       this.name = "n" + number;
     }
 
-    /** Its own clock: those of any two machines are minutes apart. */
+    /** The clock of this machine; the clocks of any two machines are at least ten minutes apart. */
     long clock() {
-      return net.now() + number * APART;
+      return net.now() + number * CLOCK_OFFSET_MICROS;
     }
 
     void start() {
       net.discardPending(number);
       timers.clear();
-      newest.clear();
+      lastGenerations.clear();
       process =
-          maker.make(
+          factory.make(
               settings,
               name,
               random.nextLong(),
@@ -89,13 +97,13 @@
                   "hall-" + number % 3, address(number), About.State.SERVING, "", "", "", 0, false),
               random.split(),
               this);
-      Membership p = process;
+      Membership current = process;
       net.at(
           number,
           net.now(),
           () -> {
-            if (process == p) {
-              p.start(clock());
+            if (process == current) {
+              current.start(clock());
             }
           });
     }
@@ -104,13 +112,13 @@
     public void send(String address, GossipMessage message) {
       Integer to = numbers.get(address);
       packets++;
-      bytes += size == null ? 0 : size.applyAsInt(message);
+      bytes += messageSize == null ? 0 : messageSize.applyAsInt(message);
       if (to != null) {
-        net.send(number, to, () -> nodes[to].hear(message));
+        net.send(number, to, () -> nodes[to].receive(message));
       }
     }
 
-    private void hear(GossipMessage message) {
+    private void receive(GossipMessage message) {
       if (process != null) {
         process.receive(clock(), message);
         check(this);
@@ -120,17 +128,20 @@
     @Override
     public void exchange(String address) {
       Integer to = numbers.get(address);
-      Membership p = process;
-      long wait = 2 * net.delay();
+      Membership current = process;
+      long delay = 2 * net.delay();
       if (to == null || to == number || !net.isOpen(number, to) || net.isPaused(to)) {
-        net.at(number, net.now() + EXCHANGE_MICROS, () -> unreachable(p, address, false));
+        net.at(
+            number,
+            net.now() + EXCHANGE_TIMEOUT_MICROS,
+            () -> unreachable(current, address, false));
       } else if (nodes[to].process == null) {
-        net.at(number, net.now() + wait, () -> unreachable(p, address, true));
+        net.at(number, net.now() + delay, () -> unreachable(current, address, true));
       } else {
-        List<Claim> mine = p.claims(clock());
+        List<Claim> mine = current.claims(clock());
         net.at(
             to,
-            net.now() + wait,
+            net.now() + delay,
             () -> {
               Membership other = nodes[to].process;
               if (other != null && net.isOpen(number, to)) {
@@ -139,37 +150,38 @@
                 List<Claim> theirs = other.claims(nodes[to].clock());
                 net.at(
                     number,
-                    net.now() + wait,
+                    net.now() + delay,
                     () -> {
-                      if (process == p) {
-                        p.onExchange(clock(), address, theirs);
+                      if (process == current) {
+                        current.onExchange(clock(), address, theirs);
                         check(this);
                       }
                     });
               } else {
-                net.at(number, net.now() + wait, () -> unreachable(p, address, other == null));
+                net.at(
+                    number, net.now() + delay, () -> unreachable(current, address, other == null));
               }
             });
       }
     }
 
-    private void unreachable(Membership p, String address, boolean refused) {
-      if (process == p) {
-        p.onUnreachable(address, refused);
+    private void unreachable(Membership requester, String address, boolean refused) {
+      if (process == requester) {
+        requester.onUnreachable(address, refused);
       }
     }
 
     @Override
     public void startTimer(MembershipTimer timer, long at) {
       cancelTimer(timer);
-      Membership p = process;
+      Membership current = process;
       timers.put(
           timer,
           net.at(
               number,
               at - clock() + net.now(),
               () -> {
-                if (process == p) {
+                if (process == current) {
                   timers.remove(timer);
                   process.onTimer(clock(), timer, clock() - at);
                   check(this);
@@ -179,30 +191,34 @@
 
     @Override
     public void cancelTimer(MembershipTimer timer) {
-      VirtualNetwork.ScheduledTask before = timers.remove(timer);
-      if (before != null) {
-        before.cancel();
+      VirtualNetwork.ScheduledTask running = timers.remove(timer);
+      if (running != null) {
+        running.cancel();
       }
     }
 
     @Override
-    public void onMembershipChange(MembershipChange c) {
-      Integer who = numbers.get(c.claim().about().address());
-      boolean well =
-          who != null
-              && nodes[who].process != null
-              && !net.isPaused(who)
+    public void onMembershipChange(MembershipChange change) {
+      Integer subject = numbers.get(change.claim().about().address());
+      boolean healthy =
+          subject != null
+              && nodes[subject].process != null
+              && !net.isPaused(subject)
               && !net.isCut()
-              && nodes[who].process.self().life().equals(c.claim().life());
-      if (c.kind() == MembershipChange.Kind.SUSPECTED && well && c.by().equals(name)) {
-        wrongSuspicions++;
-      } else if (c.kind() == MembershipChange.Kind.DIED) {
-        wrongDeaths +=
-            well && buried.add(c.claim().name() + c.claim().life() + c.claim().incarnation())
+              && nodes[subject].process.self().generation().equals(change.claim().generation());
+      if (change.kind() == MembershipChange.Kind.SUSPECTED && healthy && change.by().equals(name)) {
+        falseSuspicions++;
+      } else if (change.kind() == MembershipChange.Kind.DIED) {
+        falseDeaths +=
+            healthy
+                    && countedDeaths.add(
+                        change.claim().name()
+                            + change.claim().generation()
+                            + change.claim().incarnation())
                 ? 1
                 : 0;
-        if (who != null && nodes[who].process == null && killedAt[who] > 0) {
-          detected.add(net.now() - killedAt[who]);
+        if (subject != null && nodes[subject].process == null && killedAt[subject] > 0) {
+          detectionTimes.add(net.now() - killedAt[subject]);
         }
       }
     }
@@ -211,28 +227,31 @@
   private final MembershipSettings settings;
   private final SplittableRandom random;
   private final VirtualNetwork net;
-  private final Factory maker;
+  private final Factory factory;
   private final Node[] nodes;
   private final Map<String, Integer> numbers = new HashMap<>();
   private final long[] killedAt;
-  private ToIntFunction<GossipMessage> size;
-  private int slow = -1;
-  private long checks;
-  private boolean checked = true;
+
+  /** Returns the bytes of a message; null where they are not counted. */
+  private ToIntFunction<GossipMessage> messageSize;
+
+  /** The machine that is slow, or -1. */
+  private int slowNode = -1;
+
+  private long steps;
+  private boolean checksEnabled = true;
   private long packets;
   private long bytes;
-  private long wrongSuspicions;
-  private long wrongDeaths;
-  private final Set<String> buried = new HashSet<>();
-  private final List<Long> detected = new ArrayList<>();
+  private long falseSuspicions;
+  private long falseDeaths;
+  private final Set<String> countedDeaths = new HashSet<>();
+  private final List<Long> detectionTimes = new ArrayList<>();
 
-  /**
-   * A fleet of {@code size} machines, all of which start at once and are told of the first three.
-   */
-  public FleetSimulation(int size, MembershipSettings settings, long seed, Factory maker) {
+  /** Creates a fleet of {@code size} machines, which all start at once. */
+  public FleetSimulation(int size, MembershipSettings settings, long seed, Factory factory) {
     this.settings = settings;
     this.random = new SplittableRandom(seed);
-    this.maker = maker;
+    this.factory = factory;
     this.net = new VirtualNetwork(size, random.split());
     this.nodes = new Node[size];
     this.killedAt = new long[size];
@@ -246,12 +265,12 @@
     }
   }
 
-  /** Where a machine listens. */
+  /** The address of a machine. */
   public static String address(int number) {
     return "n" + number + ":1";
   }
 
-  /** The settings of a trial: the first three machines are named in the list. */
+  /** The settings of a simulation, with the first three machines as seeds. */
   public static MembershipSettings settings(int size) {
     return MembershipSettings.defaults("trial", List.of(address(0), address(1), address(2)), size);
   }
@@ -262,6 +281,7 @@
     return net;
   }
 
+  /** Ends the process on a machine without an announcement. */
   public void kill(int node) {
     nodes[node].process = null;
     nodes[node].timers.values().forEach(VirtualNetwork.ScheduledTask::cancel);
@@ -269,7 +289,7 @@
     killedAt[node] = net.now();
   }
 
-  /** A process begins under the name and address of the one before, which is gone. */
+  /** Starts a new process on a machine, under the present name; a running one is killed. */
   public void start(int node) {
     if (nodes[node].process != null) {
       kill(node);
@@ -278,14 +298,14 @@
     nodes[node].start();
   }
 
-  /** A process begins under another name at this machine's address. */
+  /** Kills the process on a machine and starts one under another name. */
   public void start(int node, String name) {
     kill(node);
     nodes[node].name = name;
     start(node);
   }
 
-  /** Cuts the machines for which {@code side} differs from each other. */
+  /** Cuts all links between machines for which {@code side} returns different values. */
   public void cut(ToIntFunction<Integer> side) {
     for (int a = 0; a < nodes.length; a++) {
       for (int b = 0; b < nodes.length; b++) {
@@ -297,44 +317,50 @@
   }
 
   /**
-   * One machine stands still for so long again and again, and goes on for a moment only in between;
-   * -1 ends that.
+   * Makes one machine slow: it pauses for a duration again and again and runs for a moment only in
+   * between.
+   *
+   * @param node the machine; -1 for none
+   * @param pause the duration of a pause in microseconds
    */
-  public void slow(int node, long by) {
-    slow = node;
-    if (node >= 0 && by > 0) {
-      stutter(node, by);
+  public void slow(int node, long pause) {
+    slowNode = node;
+    if (node >= 0 && pause > 0) {
+      pauseRepeatedly(node, pause);
     }
   }
 
-  private void stutter(int node, long by) {
-    if (slow == node) {
+  private void pauseRepeatedly(int node, long pause) {
+    if (slowNode == node) {
       net.pause(node);
-      net.at(net.now() + by, () -> net.resume(node));
-      net.at(net.now() + by + STRIDE, () -> stutter(node, by));
+      net.at(net.now() + pause, () -> net.resume(node));
+      net.at(net.now() + pause + RUN_BETWEEN_PAUSES_MICROS, () -> pauseRepeatedly(node, pause));
     }
   }
 
-  // ---------------------------------------------------------------- what is seen
+  // ---------------------------------------------------------------- measurements
 
-  /** Counts bytes too, by what a message takes. */
+  /** Counts the bytes of messages with a function that returns the size of one; null ends it. */
   public void measure(ToIntFunction<GossipMessage> sizeOf) {
-    size = sizeOf;
+    messageSize = sizeOf;
   }
 
+  /** Disables the checks after each step. */
   public void unchecked() {
-    checked = false;
+    checksEnabled = false;
   }
 
+  /** Whether a process runs on a machine. */
   public boolean lives(int node) {
     return nodes[node].process != null;
   }
 
+  /** The process on a machine; null where none runs. */
   public Membership process(int node) {
     return nodes[node].process;
   }
 
-  /** What a machine's own clock says. */
+  /** The time on the clock of a machine. */
   public long clock(int node) {
     return nodes[node].clock();
   }
@@ -347,29 +373,30 @@
     return bytes;
   }
 
+  /** The suspicions raised by a member against one that was running and reachable. */
   public long wrongSuspicions() {
-    return wrongSuspicions;
+    return falseSuspicions;
   }
 
+  /** The incarnations of running and reachable members that some member declared dead. */
   public long wrongDeaths() {
-    return wrongDeaths;
+    return falseDeaths;
   }
 
-  /**
-   * How long after it was killed each member that still lives held a machine dead, in microseconds.
-   */
+  /** The times from the kill of a machine until each other member held it dead, in microseconds. */
   public List<Long> detected() {
-    return detected;
+    return detectionTimes;
   }
 
   /**
-   * Whether all that live tell the same: just those that live, none suspected, in their own words.
+   * Whether the views of all running members agree: they contain exactly the running members as
+   * living, unsuspected, and with the latest claims of these.
    */
   public boolean isSettled() {
-    return unsettled() == null;
+    return disagreement() == null;
   }
 
-  /** Whether each one that lives counts as many others as there are. */
+  /** Whether each running member counts the right number of others. */
   public boolean countsRight() {
     long living = Arrays.stream(nodes).filter(n -> n.process != null).count();
     return Arrays.stream(nodes)
@@ -380,8 +407,8 @@
                     || n.process.livingCount() == living - 1);
   }
 
-  /** Who does not tell what is, or null. */
-  public String unsettled() {
+  /** Describes the first disagreement between a view and the fleet; null where there is none. */
+  public String disagreement() {
     int living = 0;
     for (Node n : nodes) {
       living += n.process == null ? 0 : 1;
@@ -391,7 +418,11 @@
         continue;
       }
       if (n.process.livingCount() != living - 1) {
-        return n.name + " sees " + n.process.livingCount() + " others, " + (living - 1) + " live";
+        return n.name
+            + " counts "
+            + n.process.livingCount()
+            + " living others, not "
+            + (living - 1);
       }
       for (Peer p : n.process.peers()) {
         Node of = nodes[numbers.get(p.claim().about().address())];
@@ -406,57 +437,66 @@
     return null;
   }
 
-  /** Runs until all agree; how long that took, or -1 where they do not within {@code most}. */
-  public long settle(long most) {
-    long begun = net.now();
-    long step = Math.max(10 * MembershipSettings.MS, most / 400);
-    while (net.now() - begun <= most) {
+  /**
+   * Runs until all views agree.
+   *
+   * @return how long that took, or -1 if they do not agree within {@code timeout}
+   */
+  public long awaitAgreement(long timeout) {
+    long startedAt = net.now();
+    long step = Math.max(10 * MembershipSettings.MS, timeout / 400);
+    while (net.now() - startedAt <= timeout) {
       if (isSettled()) {
-        return net.now() - begun;
+        return net.now() - startedAt;
       }
       net.run(net.now() + step);
     }
     return -1;
   }
 
-  /** All shares of what belongs to all front ends, added up. */
-  public double shares() {
+  /** The sum of the shares that all running members take of the common resources. */
+  public double totalShare() {
     return Arrays.stream(nodes)
         .filter(n -> n.process != null)
         .mapToDouble(n -> 1 / n.process.divisor(n.clock()))
         .sum();
   }
 
-  // ---------------------------------------------------------------- checks after each step
+  // ---------------------------------------------------------------- invariants
 
-  private void check(Node n) {
-    checks++;
-    if (!checked || n.process == null || nodes.length > FEW && checks % SELDOM != 0) {
+  private void check(Node node) {
+    steps++;
+    if (!checksEnabled
+        || node.process == null
+        || nodes.length > MAX_FULLY_CHECKED_SIZE && steps % CHECK_INTERVAL_STEPS != 0) {
       return;
     }
     int living = 0;
-    for (Peer p : n.process.peers()) {
-      Claim c = p.claim();
-      ProcessGeneration before = n.newest.put(c.name(), c.life());
-      if (before != null && before.compareTo(c.life()) > 0) {
-        throw new InvariantViolation(n.name + " went back from life " + before + " to " + c);
+    for (Peer peer : node.process.peers()) {
+      Claim claim = peer.claim();
+      ProcessGeneration before = node.lastGenerations.put(claim.name(), claim.generation());
+      if (before != null && before.compareTo(claim.generation()) > 0) {
+        throw new InvariantViolation(
+            node.name + " went back from generation " + before + " to " + claim);
       }
-      living +=
-          c.isLiving() && !c.name().equals(n.name)
-              ? 1
-              : 0; // who has yielded keeps the one it yielded to
-      if (p.since() > n.clock()
-          || c.status() == Claim.Status.SUSPECT != p.accusers().iterator().hasNext()) {
-        throw new InvariantViolation(n.name + " is at odds with itself about " + c);
+      // A member that has yielded its name holds the new owner under it, but does not count it.
+      living += claim.isLiving() && !claim.name().equals(node.name) ? 1 : 0;
+      if (peer.statusSince() > node.clock()
+          || claim.status() == Claim.Status.SUSPECT != peer.accusers().iterator().hasNext()) {
+        throw new InvariantViolation(node.name + " holds inconsistent state about " + claim);
       }
     }
-    if (living != n.process.livingCount()) {
+    if (living != node.process.livingCount()) {
       throw new InvariantViolation(
-          n.name + " counts " + n.process.livingCount() + " that live and holds " + living);
+          node.name
+              + " counts "
+              + node.process.livingCount()
+              + " living members but holds "
+              + living);
     }
-    if (n.process.peers().size() > settings.maxMembers()
-        || n.process.queuedGossip() > settings.maxMembers() + 1) {
-      throw new InvariantViolation(n.name + " exceeds its bounds");
+    if (node.process.peers().size() > settings.maxMembers()
+        || node.process.queuedGossip() > settings.maxMembers() + 1) {
+      throw new InvariantViolation(node.name + " exceeds the limit of members or of queued gossip");
     }
   }
 }
--- a/src/test/java/umberrun/FleetProcessesIT.java
+++ b/src/test/java/umberrun/FleetProcessesIT.java
@@ -26,20 +26,17 @@
 import umberrun.fleet.net.FleetCodec;
 import umberrun.fleet.net.FleetCodec.Frame;
 
-/**
- * Six processes keep a view of each other, whatever becomes of some of them and of the ways between
- * them.
- */
+/** Tests that six processes keep a correct view of each other under process and network faults. */
 public class FleetProcessesIT {
   /**
-   * After the last fault all that live tell the same within this. By the settings below: a probe
-   * round and the longest suspicion, 2.2 s; finding the dead again, 0.5 s; two exchanges, 1 s; the
-   * same again for a machine that runs much else.
+   * The views of all running members agree within this after the last fault. By the settings below:
+   * a round of probes and the longest suspicion take 2.2 s, reconnecting to dead members 0.5 s and
+   * two exchanges 1 s; the rest is reserve for a busy machine.
    */
-  private static final long BOUND_SECONDS = 15;
+  private static final long AGREEMENT_TIMEOUT_SECONDS = 15;
 
   private static final int SIZE = 6;
-  private static final int[] ALL = {0, 1, 2, 3, 4, 5};
+  private static final int[] ALL_NODES = {0, 1, 2, 3, 4, 5};
 
   private static Processes fleet;
 
@@ -70,19 +67,19 @@
   }
 
   @AfterClass
-  public static void end() throws Exception {
+  public static void stop() throws Exception {
     fleet.close();
     assertEquals("calls without their one answer", List.of(), List.copyOf(fleet.faults));
-    assertTrue("hardly any calls: " + fleet.served, fleet.served.get() > 500);
+    assertTrue("too few calls served: " + fleet.served, fleet.served.get() > 500);
   }
 
   @Before
-  public void whole() throws Exception {
+  public void restoreNetwork() throws Exception {
     fleet.eachWay(Relay::heal);
     for (Processes.Node n : fleet.nodes) {
       n.disturbed = false;
     }
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
   }
 
   private static Processes.Node node(int i) {
@@ -90,24 +87,25 @@
   }
 
   /**
-   * Two killed at once are missed by all; back, they are new lives of the same members, and learn
-   * from those of the view.
+   * Two processes killed at once are detected by all others. After a restart they are the same
+   * members again and fetch facts from the members that they have found.
    */
   @Test
-  public void aThirdKilledAndBack() throws Exception {
-    node(0).kill(); // one of the two on everybody's list
+  public void aThirdKilledAndRestarted() throws Exception {
+    // Node 0 is one of the two seeds.
+    node(0).kill();
     node(4).kill();
-    fleet.awaitView(BOUND_SECONDS, 1, 2, 3, 5);
-    int before = node(4).said().length();
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, 1, 2, 3, 5);
+    int logStart = node(4).said().length();
     node(0).start();
     node(4).start();
     Processes.awaitReady(node(0).door);
     Processes.awaitReady(node(4).door);
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
     String learned =
         node(4)
             .said()
-            .substring(before)
+            .substring(logStart)
             .lines()
             .filter(l -> l.contains("facts of use from"))
             .findFirst()
@@ -116,42 +114,44 @@
   }
 
   /**
-   * Stopped for longer than a suspicion lasts, it is held dead by all; let go on, it refutes, and
-   * accuses nobody. Whether it logs an accusation is no part of this: what it said just before the
-   * stop may be newer than what the others held dead.
+   * A process stopped for longer than a suspicion lasts is held dead by all others; once continued,
+   * it refutes that and accuses nobody. It need not log that it was accused: what it published just
+   * before the stop may be newer than the incarnation that the others held dead.
    */
   @Test
-  public void aStoppedOneComesBack() throws Exception {
-    int before = node(2).said().length();
+  public void aStoppedProcessRefutesItsDeath() throws Exception {
+    int logStart = node(2).said().length();
     node(2).signal("STOP");
-    long held = -1;
+    long deadIncarnation = -1;
     for (int i : new int[] {0, 1, 3, 4, 5}) {
       Processes.await(
           "n" + i + " does not hold n2 dead",
-          BOUND_SECONDS,
-          () -> told(i).get("status").getAsString().equals("dead"));
-      held = Math.max(held, told(i).get("incarnation").getAsLong());
+          AGREEMENT_TIMEOUT_SECONDS,
+          () -> viewOfN2(i).get("status").getAsString().equals("dead"));
+      deadIncarnation = Math.max(deadIncarnation, viewOfN2(i).get("incarnation").getAsLong());
     }
     node(2).signal("CONT");
-    fleet.awaitView(BOUND_SECONDS, ALL);
-    for (int i : ALL) {
-      assertTrue(told(i) + " after " + held, told(i).get("incarnation").getAsLong() > held);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
+    for (int i : ALL_NODES) {
+      assertTrue(
+          viewOfN2(i) + " after " + deadIncarnation,
+          viewOfN2(i).get("incarnation").getAsLong() > deadIncarnation);
     }
-    String since = node(2).said().substring(before);
-    assertFalse(since, since.contains("\"died\""));
+    String newLog = node(2).said().substring(logStart);
+    assertFalse(newLog, newLog.contains("\"died\""));
   }
 
-  /** What a front end tells of n2. */
-  private static JsonObject told(int at) throws Exception {
+  /** Returns the entry for n2 in the view of a front end. */
+  private static JsonObject viewOfN2(int at) throws Exception {
     for (JsonElement m : node(at).view().getAsJsonArray("members")) {
       if (m.getAsJsonObject().get("name").getAsString().equals("n2")) {
         return m.getAsJsonObject();
       }
     }
-    throw new AssertionError("n" + at + " knows no n2");
+    throw new AssertionError("n" + at + " has no n2 in its view");
   }
 
-  /** Each half sees itself, and nobody takes the share of the other half, which lives. */
+  /** Each side of a partition sees itself only, and does not take over the share of the other. */
   @Test
   public void aPartitionHealsByItself() throws Exception {
     for (int a = 0; a < SIZE; a++) {
@@ -161,50 +161,56 @@
         }
       }
     }
-    fleet.awaitView(BOUND_SECONDS, 0, 2, 4);
-    fleet.awaitView(BOUND_SECONDS, 1, 3, 5);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, 0, 2, 4);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, 1, 3, 5);
     double shares = 0;
     for (Processes.Node n : fleet.nodes) {
       shares += 1 / n.view().get("divisor").getAsDouble();
     }
     assertTrue("shares add up to " + shares, shares <= 1.0 + 1e-9);
     fleet.eachWay(Relay::heal);
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
   }
 
-  /** A hears B and B not A: others vouch for both. */
+  /**
+   * With a link cut in one direction, indirect probes through the others keep both members alive.
+   */
   @Test
-  public void aOneWayCutIsNoDeath() throws Exception {
-    int[] before = new int[SIZE];
-    for (int i : ALL) {
-      before[i] = node(i).said().length();
+  public void aOneWayCutCausesNoDeath() throws Exception {
+    int[] logStarts = new int[SIZE];
+    for (int i : ALL_NODES) {
+      logStarts[i] = node(i).said().length();
     }
     fleet.cut(1, 2, true);
-    int seen = probes(2);
-    Processes.await("no more probes", BOUND_SECONDS, () -> probes(2) > seen + 60);
-    fleet.awaitView(BOUND_SECONDS, ALL);
-    for (int i : ALL) {
-      assertFalse("n" + i, node(i).said().substring(before[i]).contains("\"died\""));
+    int startProbes = countProbeUpdates(2);
+    Processes.await(
+        "too few probes", AGREEMENT_TIMEOUT_SECONDS, () -> countProbeUpdates(2) > startProbes + 60);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
+    for (int i : ALL_NODES) {
+      assertFalse("n" + i, node(i).said().substring(logStarts[i]).contains("\"died\""));
     }
   }
 
-  /** Changes of the others' round trips, as a measure of probes that went on. */
-  private int probes(int of) throws Exception {
-    int now = 0;
+  /**
+   * Counts the changes of the round trip times in the view of a node from call to call, as a lower
+   * bound of its probes.
+   */
+  private int countProbeUpdates(int of) throws Exception {
+    int tripSum = 0;
     for (JsonElement m : node(of).view().getAsJsonArray("members")) {
       JsonElement trip = m.getAsJsonObject().get("round_trip_us");
-      now += trip == null ? 0 : trip.getAsInt();
+      tripSum += trip == null ? 0 : trip.getAsInt();
     }
-    trips += now == lastTrips ? 0 : 1;
-    lastTrips = now;
-    return trips;
+    tripChanges += tripSum == lastTripSum ? 0 : 1;
+    lastTripSum = tripSum;
+    return tripChanges;
   }
 
-  private int trips;
-  private int lastTrips;
+  private int tripChanges;
+  private int lastTripSum;
 
   @Test
-  public void lossDelayAndDuplicatesPass() throws Exception {
+  public void lossDelayAndDuplicatesAreTolerated() throws Exception {
     fleet.eachWay(
         r -> {
           r.loss = 0.3;
@@ -212,40 +218,43 @@
           r.delayMillis = 30;
         });
     node(3).kill();
-    Processes.await("n3 is not missed", BOUND_SECONDS, () -> !node(0).alive().contains("n3"));
+    Processes.await(
+        "the death of n3 was not detected",
+        AGREEMENT_TIMEOUT_SECONDS,
+        () -> !node(0).alive().contains("n3"));
     node(3).start();
     Processes.awaitReady(node(3).door);
     fleet.eachWay(Relay::heal);
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
   }
 
   /**
-   * All replaced one after the other: each successor is the same member, and no elder's end is a
-   * departure.
+   * All processes are upgraded one after the other. Each successor is the same member, and the end
+   * of its predecessor is not reported as a departure.
    */
   @Test
-  public void upgradesAreNoDepartures() throws Exception {
-    int[] before = new int[SIZE];
-    for (int i : ALL) {
-      before[i] = node(i).said().length();
+  public void upgradesAreNotReportedAsDepartures() throws Exception {
+    int[] logStarts = new int[SIZE];
+    for (int i : ALL_NODES) {
+      logStarts[i] = node(i).said().length();
     }
-    for (int i : ALL) {
+    for (int i : ALL_NODES) {
       node(i).upgrade();
-      fleet.awaitView(BOUND_SECONDS, ALL);
+      fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
     }
-    for (int i : ALL) {
-      String since = node(i).said().substring(before[i]);
-      assertTrue(since, since.contains("\"restarted\""));
+    for (int i : ALL_NODES) {
+      String newLog = node(i).said().substring(logStarts[i]);
+      assertTrue(newLog, newLog.contains("\"restarted\""));
       assertFalse(
-          "n" + i + " saw a departure: " + since,
-          since.contains("\"left\"") || since.contains("\"died\""));
+          "n" + i + " logged a departure: " + newLog,
+          newLog.contains("\"left\"") || newLog.contains("\"died\""));
     }
   }
 
-  /** What is no message of this fleet costs nothing but itself. */
+  /** Malformed, replayed and foreign datagrams are counted and have no other effect. */
   @Test
   public void garbageIsDroppedAndCounted() throws Exception {
-    Claim old =
+    Claim outdated =
         new Claim(
             "n1",
             new ProcessGeneration(1, 1),
@@ -254,11 +263,12 @@
             new About("hall-a", node(1).address(), About.State.SERVING, "", "", "", 0, false),
             "n9",
             0);
-    GossipMessage word = new GossipMessage(GossipMessage.Kind.PING, 1, "n0", "", old, List.of(old));
-    byte[] replayed = new FleetCodec(Processes.FLEET).encode(word);
-    byte[] foreign = new FleetCodec("other").encode(word);
+    GossipMessage message =
+        new GossipMessage(GossipMessage.Kind.PING, 1, "n0", "", outdated, List.of(outdated));
+    byte[] replayed = new FleetCodec(Processes.FLEET).encode(message);
+    byte[] foreign = new FleetCodec("other").encode(message);
     Random random = new Random(3);
-    try (DatagramSocket s = new DatagramSocket()) {
+    try (DatagramSocket socket = new DatagramSocket()) {
       for (int i = 0; i < 200; i++) {
         byte[] garbage = new byte[random.nextInt(1_500)];
         random.nextBytes(garbage);
@@ -268,31 +278,32 @@
                 replayed,
                 Arrays.copyOf(replayed, random.nextInt(replayed.length)),
                 foreign)) {
-          s.send(
+          socket.send(
               new DatagramPacket(
                   bytes, bytes.length, InetAddress.getLoopbackAddress(), node(0).fleet));
         }
       }
     }
-    fleet.awaitView(BOUND_SECONDS, ALL);
-    node(0).signal("USR2"); // has it print its counters
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, ALL_NODES);
+    // Makes the process print its counters.
+    node(0).signal("USR2");
     Processes.await(
-        "nothing was counted",
-        BOUND_SECONDS,
+        "the datagrams were not counted",
+        AGREEMENT_TIMEOUT_SECONDS,
         () ->
             node(0).said().contains("fleet_unreadable=")
                 && node(0).said().contains("fleet_foreign="));
   }
 
-  /** Sent away by hand it is gone at once, and comes back with its next start. */
+  /** A member that an operator makes leave is gone at once, and returns with its next start. */
   @Test
-  public void leavingByHandIsSaid() throws Exception {
+  public void leavingByOperatorRequestIsAnnounced() throws Exception {
     JsonObject answer =
         com.google.gson.JsonParser.parseString(
                 FleetClient.ask("127.0.0.1", node(3).fleet, Frame.Kind.LEAVE))
             .getAsJsonObject();
     assertTrue(answer.get("left").getAsBoolean());
-    fleet.awaitView(BOUND_SECONDS, 0, 1, 2, 4, 5);
+    fleet.awaitView(AGREEMENT_TIMEOUT_SECONDS, 0, 1, 2, 4, 5);
     assertTrue(node(1).said().lines().anyMatch(l -> l.contains("\"left\"") && l.contains("n3")));
     node(3).kill();
     node(3).start();
