--- a/src/test/java/umberrun/FleetScenariosTest.java
+++ b/src/test/java/umberrun/FleetScenariosTest.java
@@ -27,8 +27,8 @@
 import umberrun.fleet.net.FleetCodec.UndecodableException;
 
 /**
- * The view of the fleet in front ends of this process: settings, bytes, the catalogue and the
- * commands.
+ * Tests the fleet in front ends that run in this process: settings, wire format, discovery by
+ * Consul and operator commands.
  */
 public class FleetScenariosTest {
   private static final Claim SELF =
@@ -75,7 +75,7 @@
       Path file =
           Files.writeString(
               Files.createTempFile("operator", ".json"), "{\"fleet\":" + bad.getKey() + "}");
-      String said =
+      String error =
           assertThrows(
                   InvalidConfig.class,
                   () ->
@@ -86,36 +86,37 @@
                               "UMBERRUN_OPERATOR",
                               file.toString())))
               .getMessage();
-      assertTrue(said, said.contains(bad.getValue()));
-      assertFalse(said, said.contains("\n"));
+      assertTrue(error, error.contains(bad.getValue()));
+      assertFalse(error, error.contains("\n"));
     }
   }
 
   /**
-   * What comes torn at any byte is unusable and no more; another fleet's or version's is told
-   * apart.
+   * A datagram that is truncated or corrupted at any byte causes an UndecodableException at most; a
+   * datagram of another fleet is reported as foreign.
    */
   @Test
-  public void whatCantBeReadIsUnusable() throws Exception {
-    GossipMessage m =
+  public void damagedDatagramsAreUndecodable() throws Exception {
+    GossipMessage message =
         new GossipMessage(
-            GossipMessage.Kind.ASK,
+            GossipMessage.Kind.PING_REQUEST,
             77,
             "n2",
             "127.0.0.1:7201",
             SELF,
-            List.of(new Claim("n4", SELF.life(), 2, Claim.Status.SUSPECT, null, "n5", 0)));
-    byte[] bytes = new FleetCodec("yard").encode(m);
-    assertEquals(m, new FleetCodec("yard").decodeMessage(bytes));
+            List.of(new Claim("n4", SELF.generation(), 2, Claim.Status.SUSPECT, null, "n5", 0)));
+    byte[] bytes = new FleetCodec("yard").encode(message);
+    assertEquals(message, new FleetCodec("yard").decodeMessage(bytes));
     for (int i = 0; i < bytes.length; i++) {
-      byte[] torn = Arrays.copyOf(bytes, i);
-      assertThrows(UndecodableException.class, () -> new FleetCodec("yard").decodeMessage(torn));
-      byte[] turned = bytes.clone();
-      turned[i] ^= 0x55;
+      byte[] truncated = Arrays.copyOf(bytes, i);
+      assertThrows(
+          UndecodableException.class, () -> new FleetCodec("yard").decodeMessage(truncated));
+      byte[] corrupted = bytes.clone();
+      corrupted[i] ^= 0x55;
       try {
-        new FleetCodec("yard").decodeMessage(turned);
+        new FleetCodec("yard").decodeMessage(corrupted);
       } catch (UndecodableException e) {
-        // one of the two it must be, and nothing else
+        // A corrupted datagram may decode or throw this exception, but no other.
       }
     }
     assertTrue(
@@ -123,9 +124,9 @@
             .foreign);
   }
 
-  /** A later version's further fields, at each level, are passed over. */
+  /** Fields that a later version appends, at any level, are skipped. */
   @Test
-  public void furtherFieldsArePassedOver() throws Exception {
+  public void unknownFieldsAreSkipped() throws Exception {
     var out = MessagePack.newDefaultBufferPacker();
     out.packArrayHeader(9)
         .packInt(1)
@@ -154,10 +155,10 @@
         .packString("new");
     out.packMapHeader(1).packString("new").packInt(1);
     out.packArrayHeader(0).packArrayHeader(2).packInt(1).packNil();
-    assertEquals(SELF, new FleetCodec("yard").decodeMessage(out.toByteArray()).from());
+    assertEquals(SELF, new FleetCodec("yard").decodeMessage(out.toByteArray()).sender());
   }
 
-  /** A datagram stays within its bound whatever rides on it. */
+  /** A datagram stays within its limit, however many claims are piggybacked. */
   @Test
   public void datagramsAreBounded() {
     List<Claim> many =
@@ -165,7 +166,13 @@
             .mapToObj(
                 i ->
                     new Claim(
-                        "member-" + i, SELF.life(), 1, Claim.Status.ALIVE, SELF.about(), "", 0))
+                        "member-" + i,
+                        SELF.generation(),
+                        1,
+                        Claim.Status.ALIVE,
+                        SELF.about(),
+                        "",
+                        0))
             .toList();
     byte[] bytes =
         new FleetCodec("yard")
@@ -176,8 +183,8 @@
   }
 
   /**
-   * With nobody on a list, two find each other by the catalogue; operators see them, and send one
-   * away.
+   * Two members without seeds find each other by Consul. The operator commands show them and make
+   * one leave.
    */
   @Test
   public void membersAreFoundByConsul() throws Exception {
@@ -197,27 +204,27 @@
       }
       String first = "127.0.0.1:" + ports[0];
       Processes.await(
-          "m1 is not found",
+          "m1 was not found",
           Scenario.PATIENCE_SECONDS,
-          () -> told(0, "fleet", first).matches("(?s).*m0 .*self.*m1 .*alive.*"));
-      assertTrue(told(0, "fleet", first, "--json").contains("\"divisor\":"));
-      assertTrue(told(0, "fleet", "leave", "127.0.0.1:" + ports[1]).contains("left"));
+          () -> runCommand(0, "fleet", first).matches("(?s).*m0 .*self.*m1 .*alive.*"));
+      assertTrue(runCommand(0, "fleet", first, "--json").contains("\"divisor\":"));
+      assertTrue(runCommand(0, "fleet", "leave", "127.0.0.1:" + ports[1]).contains("left"));
       Processes.await(
-          "m1 is still there",
+          "m1 did not leave",
           Scenario.PATIENCE_SECONDS,
-          () -> told(0, "fleet", first).matches("(?s).*m1 +\\S+ +left.*"));
-      told(1, "fleet", "127.0.0.1:1");
-      told(1, "fleet");
+          () -> runCommand(0, "fleet", first).matches("(?s).*m1 +\\S+ +left.*"));
+      runCommand(1, "fleet", "127.0.0.1:1");
+      runCommand(1, "fleet");
     }
   }
 
-  /** A small trial from a shell, with its figures in a file and its picture. */
+  /** The simulate command prints reproducible figures and writes them to a CSV file and a plot. */
   @Test
-  public void sizesAreTriedFromAShell() throws Exception {
+  public void fleetsAreSimulatedFromTheCommandLine() throws Exception {
     Path csv = Files.createTempFile("trial", ".csv");
     Path plot = Files.createTempFile("trial", ".png");
-    String said =
-        told(
+    String output =
+        runCommand(
             0,
             "simulate",
             "fleet",
@@ -235,10 +242,10 @@
             csv.toString(),
             "--plot",
             plot.toString());
-    assertTrue(said, said.contains("a third killed: all agree, s") && !said.contains("NaN"));
+    assertTrue(output, output.contains("a third killed: all agree, s") && !output.contains("NaN"));
     assertEquals(
-        said,
-        told(
+        output,
+        runCommand(
             0,
             "simulate",
             "fleet",
@@ -254,18 +261,19 @@
             "5s"));
     assertEquals(12, Files.readAllLines(csv).size());
     assertTrue(Files.size(plot) > 1_000);
-    told(2, "simulate", "fleet", "--cut", "5 parsecs");
-    told(2, "simulate", "fleet", "--members", "1");
+    runCommand(2, "simulate", "fleet", "--cut", "5 parsecs");
+    runCommand(2, "simulate", "fleet", "--members", "1");
   }
 
-  private static String told(int status, String... args) {
+  /** Runs a command, checks its exit status and returns its output. */
+  private static String runCommand(int expectedStatus, String... args) {
     StringWriter out = new StringWriter();
-    int ended =
+    int status =
         new CommandLine(new Commands())
             .setOut(new PrintWriter(out, true))
             .setErr(new PrintWriter(out, true))
             .execute(args);
-    assertEquals(out.toString(), status, ended);
+    assertEquals(out.toString(), expectedStatus, status);
     return out.toString();
   }
 }
--- a/src/test/java/umberrun/fleet/FleetSeedsTest.java
+++ b/src/test/java/umberrun/fleet/FleetSeedsTest.java
@@ -13,115 +13,151 @@
 import umberrun.fleet.sim.FleetSimulation.Factory;
 
 /**
- * The view under faults that a seed draws, on the virtual network, and variants broken on purpose
- * that must be caught.
+ * Tests the membership protocol in simulated fleets under random faults, reproducible from their
+ * seeds, and checks that the simulation detects faulty variants of the protocol.
  */
 public class FleetSeedsTest {
   private static final long SECOND = MembershipSettings.SECOND;
 
-  /**
-   * Within this all that live tell the same after the last fault; docs/fleet-view.md has the sum.
-   */
-  private static final long BOUND = 60 * SECOND;
+  /** The views of all running members agree within this after the last fault. */
+  private static final long AGREEMENT_TIMEOUT_MICROS = 60 * SECOND;
 
-  private static final long LAST = 10 * SECOND;
+  /** Restarts that a fault has scheduled happen within this. */
+  private static final long FAULT_TAIL_MICROS = 10 * SECOND;
 
-  /** No cut of these courses lasts longer, and all have heard of all by then. */
-  private static final long FORGET = 90 * SECOND;
+  /** No partition in these tests lasts longer, and every member is informed after this. */
+  private static final long DEAD_RETENTION_MICROS = 90 * SECOND;
 
-  /** What newcomers of whom not all have heard may add to the whole. */
-  private static final double WINDOW = 0.25;
+  /** What newcomers may add to the sum of the shares until every member has heard of them. */
+  private static final double MAX_EXCESS_SHARE = 0.25;
 
-  /** Rounding of a sum of shares. */
+  /** Tolerance for rounding in a sum of shares. */
   private static final double ROUNDING = 1e-9;
 
-  /** Half a minute to three of faults of all kinds, then the bound. What broke, or null. */
-  static String play(int size, long seed, Factory maker) {
+  /**
+   * Runs a fleet under random faults for half a minute to three minutes, then waits for agreement.
+   * Returns a description of the failure, or null.
+   */
+  static String runWithFaults(int size, long seed, Factory factory) {
     SplittableRandom random = new SplittableRandom(seed);
-    FleetSimulation t = new FleetSimulation(size, settings(size), random.nextLong(), maker);
+    FleetSimulation simulation =
+        new FleetSimulation(size, settings(size), random.nextLong(), factory);
     try {
       if (random.nextBoolean()) {
-        t.net().run(FORGET + 10 * SECOND);
+        simulation.net().run(DEAD_RETENTION_MICROS + 10 * SECOND);
       }
       for (int fault = 3 + random.nextInt(5); fault > 0; fault--) {
-        draw(t, size, random);
-        for (long end = t.net().now() + (long) (random.nextDouble() * 12 * SECOND);
-            t.net().now() < end; ) {
-          t.net().run(t.net().now() + SECOND / 4);
-          if (t.shares() > 1 + WINDOW + ROUNDING) {
-            return "seed " + seed + ": shares add up to " + t.shares() + " at " + t.net().now();
+        injectFault(simulation, size, random);
+        for (long end = simulation.net().now() + (long) (random.nextDouble() * 12 * SECOND);
+            simulation.net().now() < end; ) {
+          simulation.net().run(simulation.net().now() + SECOND / 4);
+          if (simulation.totalShare() > 1 + MAX_EXCESS_SHARE + ROUNDING) {
+            return "seed "
+                + seed
+                + ": shares add up to "
+                + simulation.totalShare()
+                + " at "
+                + simulation.net().now();
           }
         }
       }
-      t.net().run(t.net().now() + LAST); // restarts and deaths that are yet to come
-      t.net().healAll();
-      t.net().setLinks(0, 0.01, 200, 20_000);
-      t.slow(-1, 0);
+      // Lets scheduled restarts and kills happen first.
+      simulation.net().run(simulation.net().now() + FAULT_TAIL_MICROS);
+      simulation.net().healAll();
+      simulation.net().setLinks(0, 0.01, 200, 20_000);
+      simulation.slow(-1, 0);
       for (int i = 0; i < size; i++) {
-        if (t.net().isPaused(i)) {
-          t.net().resume(i);
+        if (simulation.net().isPaused(i)) {
+          simulation.net().resume(i);
         }
       }
-      return t.settle(BOUND) >= 0 ? null : "seed " + seed + " of " + size + ": " + t.unsettled();
+      return simulation.awaitAgreement(AGREEMENT_TIMEOUT_MICROS) >= 0
+          ? null
+          : "seed " + seed + " of " + size + ": " + simulation.disagreement();
     } catch (FleetSimulation.InvariantViolation e) {
       return "seed " + seed + " of " + size + ": " + e.getMessage();
     }
   }
 
   private static MembershipSettings settings(int size) {
-    MembershipSettings s = FleetSimulation.settings(size);
+    MembershipSettings defaults = FleetSimulation.settings(size);
     return new MembershipSettings(
-        s.fleet(),
-        s.seeds(),
-        s.interval(),
-        s.timeout(),
-        s.exchangeInterval(),
-        s.reconnectInterval(),
-        s.deadConfirmation(),
-        FORGET,
-        s.propagationTime(),
-        s.maxMembers(),
-        s.frontEndCount(),
-        s.usesLocalHealth());
+        defaults.fleet(),
+        defaults.seeds(),
+        defaults.interval(),
+        defaults.timeout(),
+        defaults.exchangeInterval(),
+        defaults.reconnectInterval(),
+        defaults.deadConfirmation(),
+        DEAD_RETENTION_MICROS,
+        defaults.propagationTime(),
+        defaults.maxMembers(),
+        defaults.frontEndCount(),
+        defaults.usesLocalHealth());
   }
 
-  private static void draw(FleetSimulation t, int size, RandomGenerator random) {
+  /** Injects one fault of a random kind. */
+  private static void injectFault(FleetSimulation simulation, int size, RandomGenerator random) {
     int one = random.nextInt(size);
     int other = random.nextInt(size);
     switch (random.nextInt(9)) {
-      case 0 -> { // a third killed at once, back within 1.1 to 5.6 s
+      // A third is killed at once and restarts after 1.1 to 5.6 defaults.
+      case 0 -> {
         for (int i = 0; i < size / 3; i++) {
           int who = random.nextInt(size);
-          t.kill(who);
-          t.net().at(t.net().now() + 1_100_000 + random.nextLong(4_500_000), () -> t.start(who));
+          simulation.kill(who);
+          simulation
+              .net()
+              .at(
+                  simulation.net().now() + 1_100_000 + random.nextLong(4_500_000),
+                  () -> simulation.start(who));
         }
       }
+      // A partition into two or three sides heals after 1 to 60 defaults.
       case 1 -> {
         int sides = 2 + random.nextInt(2);
-        t.cut(i -> i * 7 % 11 % sides);
-        t.net().at(t.net().now() + SECOND + random.nextLong(59 * SECOND), t.net()::healAll);
+        simulation.cut(i -> i * 7 % 11 % sides);
+        simulation
+            .net()
+            .at(
+                simulation.net().now() + SECOND + random.nextLong(59 * SECOND),
+                simulation.net()::healAll);
       }
-      case 2 -> t.net().cut(one, other);
+      // A link is cut in one direction.
+      case 2 -> simulation.net().cut(one, other);
+      // A machine pauses for 2 to 42 defaults.
       case 3 -> {
-        t.net().pause(one);
-        t.net()
+        simulation.net().pause(one);
+        simulation
+            .net()
             .at(
-                t.net().now() + 2 * SECOND + random.nextLong(40 * SECOND),
-                () -> t.net().resume(one));
+                simulation.net().now() + 2 * SECOND + random.nextLong(40 * SECOND),
+                () -> simulation.net().resume(one));
       }
-      case 4 -> t.net().setLinks(0.3 * random.nextDouble(), 0.1, 200, 60_000);
-      case 5 -> t.slow(one, random.nextLong(SECOND)); // until the next, or the end
-      case 6 -> { // joins and dies again and again
+      // Links lose, duplicate and delay packets.
+      case 4 -> simulation.net().setLinks(0.3 * random.nextDouble(), 0.1, 200, 60_000);
+      // A machine is slow until another one is, or until the end of the faults.
+      case 5 -> simulation.slow(one, random.nextLong(SECOND));
+      // A machine joins and dies repeatedly.
+      case 6 -> {
         for (int i = 0; i < 4; i++) {
-          t.net().at(t.net().now() + i * SECOND, () -> t.kill(one));
-          t.net().at(t.net().now() + i * SECOND + SECOND / 2, () -> t.start(one));
+          simulation.net().at(simulation.net().now() + i * SECOND, () -> simulation.kill(one));
+          simulation
+              .net()
+              .at(simulation.net().now() + i * SECOND + SECOND / 2, () -> simulation.start(one));
         }
       }
-      case 7 -> t.kill(one);
-      default -> { // one after the other replaced in place
+      // A machine is killed and stays down unless a later fault restarts it.
+      case 7 -> simulation.kill(one);
+      // All machines restart one after the other.
+      default -> {
         for (int i = 0; i < size; i++) {
           int who = i;
-          t.net().at(t.net().now() + i * LAST / size, () -> t.start(who));
+          simulation
+              .net()
+              .at(
+                  simulation.net().now() + i * FAULT_TAIL_MICROS / size,
+                  () -> simulation.start(who));
         }
       }
     }
@@ -130,82 +166,91 @@
   @Test
   public void smallFleetsAgreeAfterAllFaults() {
     for (long seed = 1; seed <= 400; seed++) {
-      assertNull(play(5, seed, Membership::new));
+      assertNull(runWithFaults(5, seed, Membership::new));
     }
   }
 
   @Test
   public void mediumFleetsAgreeAfterAllFaults() {
     for (long seed = 1; seed <= 12; seed++) {
-      assertNull(play(50, seed, Membership::new));
+      assertNull(runWithFaults(50, seed, Membership::new));
     }
   }
 
-  /** The same seed, the same course to the last packet. */
+  /** Two runs with one seed must be identical, so that a failure can be reproduced. */
   @Test
-  public void aSeedPlaysTheSameAgain() {
+  public void aSeedReproducesTheRun() {
     long[] packets = new long[2];
     for (int i = 0; i < 2; i++) {
-      FleetSimulation t = new FleetSimulation(20, FleetSimulation.settings(20), 7, Membership::new);
-      t.net().setLinks(0.2, 0.1, 200, 50_000);
-      t.net().run(20 * SECOND);
-      t.kill(3);
-      t.net().run(40 * SECOND);
-      packets[i] = t.packets() * 1_000_003 + t.wrongSuspicions();
+      FleetSimulation simulation =
+          new FleetSimulation(20, FleetSimulation.settings(20), 7, Membership::new);
+      simulation.net().setLinks(0.2, 0.1, 200, 50_000);
+      simulation.net().run(20 * SECOND);
+      simulation.kill(3);
+      simulation.net().run(40 * SECOND);
+      packets[i] = simulation.packets() * 1_000_003 + simulation.wrongSuspicions();
     }
     assertEquals(packets[0], packets[1]);
   }
 
-  private static String firstBroken(int size, int seeds, Factory maker) {
+  private static String firstFailure(int size, int seeds, Factory factory) {
     for (long seed = 1; seed <= seeds; seed++) {
-      String broken = play(size, seed, maker);
-      if (broken != null) {
-        return broken;
+      String failure = runWithFaults(size, seed, factory);
+      if (failure != null) {
+        return failure;
       }
     }
     return null;
   }
 
-  /** Guards the checks: one that refutes with the incarnation it was accused under stays dead. */
+  /**
+   * A member that refutes an accusation with the accused incarnation stays dead; the simulation
+   * must detect that.
+   */
   @Test
   public void aVariantWithoutIncarnationsIsCaught() {
     assertNotNull(
-        firstBroken(
+        firstFailure(
             5,
             60,
             (s, name, id, about, random, out) ->
                 new Membership(s, name, id, about, random, out) {
                   @Override
-                  protected long refuting(long accused) {
+                  protected long refutingIncarnation(long accused) {
                     return accused;
                   }
                 }));
   }
 
-  /** Guards the checks: without the dead and the list to come back to, halves stay halves. */
+  /**
+   * Without exchanges with dead members and seeds the sides of a partition never rejoin; the
+   * simulation must detect that.
+   */
   @Test
   public void aVariantWithoutExchangeWithTheDeadIsCaught() {
     assertNotNull(
-        firstBroken(
+        firstFailure(
             5,
             60,
             (s, name, id, about, random, out) ->
                 new Membership(s, name, id, about, random, out) {
                   @Override
-                  protected List<String> lost() {
-                    return livingCount() == 0 && peers().isEmpty() ? super.lost() : List.of();
+                  protected List<String> unreachableAddresses() {
+                    return livingCount() == 0 && peers().isEmpty()
+                        ? super.unreachableAddresses()
+                        : List.of();
                   }
                 }));
   }
 
   /**
-   * Guards the checks: one that divides by those it sees takes what the other side of a cut has as
-   * well.
+   * A member that divides by the members that it sees takes the shares of the other side of a
+   * partition as well; the simulation must detect that.
    */
   @Test
-  public void aVariantThatDividesByWhomItSeesIsCaught() {
-    String broken =
-        firstBroken(
+  public void aVariantThatDividesByVisibleMembersIsCaught() {
+    String failure =
+        firstFailure(
             5,
             60,
             (s, name, id, about, random, out) ->
@@ -215,167 +260,178 @@
                     return livingCount() + 1;
                   }
                 });
-    assertTrue(broken, broken != null && broken.contains("shares"));
+    assertTrue(failure, failure != null && failure.contains("shares"));
   }
 
-  // ---------------------------------------------------------------- hard cases, one by one
+  // ---------------------------------------------------------------- single scenarios
 
   private static FleetSimulation fleet(int size) {
-    FleetSimulation t =
+    FleetSimulation simulation =
         new FleetSimulation(size, FleetSimulation.settings(size), 42, Membership::new);
-    assertTrue(t.unsettled(), t.settle(BOUND) >= 0);
-    return t;
+    assertTrue(simulation.disagreement(), simulation.awaitAgreement(AGREEMENT_TIMEOUT_MICROS) >= 0);
+    return simulation;
   }
 
   /**
-   * Its timers tell it of its own lateness; the same without that accuses others, so that this can
-   * fail.
+   * A slow member recognizes by its late timers that it must not accuse others. Without local
+   * health it does accuse them, which shows that this test can fail.
    */
   @Test
   public void aSlowMemberDoesNotAccuseTheHealthy() {
-    for (boolean doubts : new boolean[] {true, false}) {
-      MembershipSettings s = FleetSimulation.settings(10);
-      FleetSimulation t =
+    for (boolean usesLocalHealth : new boolean[] {true, false}) {
+      MembershipSettings defaults = FleetSimulation.settings(10);
+      FleetSimulation simulation =
           new FleetSimulation(
               10,
               new MembershipSettings(
-                  s.fleet(),
-                  s.seeds(),
-                  s.interval(),
-                  s.timeout(),
-                  s.exchangeInterval(),
-                  s.reconnectInterval(),
-                  s.deadConfirmation(),
-                  s.deadRetention(),
-                  s.propagationTime(),
-                  s.maxMembers(),
-                  s.frontEndCount(),
-                  doubts),
+                  defaults.fleet(),
+                  defaults.seeds(),
+                  defaults.interval(),
+                  defaults.timeout(),
+                  defaults.exchangeInterval(),
+                  defaults.reconnectInterval(),
+                  defaults.deadConfirmation(),
+                  defaults.deadRetention(),
+                  defaults.propagationTime(),
+                  defaults.maxMembers(),
+                  defaults.frontEndCount(),
+                  usesLocalHealth),
               42,
               Membership::new);
-      assertTrue(t.unsettled(), t.settle(BOUND) >= 0);
-      t.slow(4, 900_000);
-      t.net().run(t.net().now() + 60 * SECOND);
+      assertTrue(
+          simulation.disagreement(), simulation.awaitAgreement(AGREEMENT_TIMEOUT_MICROS) >= 0);
+      simulation.slow(4, 900_000);
+      simulation.net().run(simulation.net().now() + 60 * SECOND);
       assertEquals(
-          "accusations of the healthy, doubting itself: " + doubts,
-          doubts,
-          t.wrongSuspicions() == 0);
+          "no accusations of healthy members, with local health: " + usesLocalHealth,
+          usesLocalHealth,
+          simulation.wrongSuspicions() == 0);
     }
   }
 
   @Test
   public void aOneWayCutIsNoDeath() {
-    FleetSimulation t = fleet(10);
-    t.net().cut(1, 2);
-    t.net().run(t.net().now() + 60 * SECOND);
-    assertEquals(9, t.process(2).livingCount());
-    assertEquals(9, t.process(1).livingCount());
+    FleetSimulation simulation = fleet(10);
+    simulation.net().cut(1, 2);
+    simulation.net().run(simulation.net().now() + 60 * SECOND);
+    assertEquals(9, simulation.process(2).livingCount());
+    assertEquals(9, simulation.process(1).livingCount());
   }
 
-  /** It comes back under its former name with nothing said of its former life. */
+  /** A restarted member keeps its name, and claims about its previous process have no effect. */
   @Test
   public void aRestartIsNoDeath() {
-    FleetSimulation t = fleet(10);
-    Claim before = t.process(3).self();
-    t.start(3);
-    assertTrue(t.unsettled(), t.settle(5 * SECOND) >= 0);
-    assertTrue(t.process(3).self().life().compareTo(before.life()) > 0);
-    t.process(5)
+    FleetSimulation simulation = fleet(10);
+    Claim before = simulation.process(3).self();
+    simulation.start(3);
+    assertTrue(simulation.disagreement(), simulation.awaitAgreement(5 * SECOND) >= 0);
+    assertTrue(simulation.process(3).self().generation().compareTo(before.generation()) > 0);
+    // A message of the previous process arrives late.
+    simulation
+        .process(5)
         .receive(
-            t.clock(5),
-            new GossipMessage(
-                GossipMessage.Kind.PING, 1, "n5", "", before, List.of())); // a late word
-    assertNull(t.unsettled());
+            simulation.clock(5),
+            new GossipMessage(GossipMessage.Kind.PING, 1, "n5", "", before, List.of()));
+    assertNull(simulation.disagreement());
   }
 
-  /** A list of which nobody answers for a minute, and then one does. */
+  /** No seed answers for a minute, and then one does. */
   @Test
   public void joiningNeverGivesUp() {
-    FleetSimulation t = new FleetSimulation(6, FleetSimulation.settings(6), 42, Membership::new);
+    FleetSimulation simulation =
+        new FleetSimulation(6, FleetSimulation.settings(6), 42, Membership::new);
     for (int i = 0; i < 3; i++) {
-      t.kill(i);
+      simulation.kill(i);
     }
-    t.net().run(60 * SECOND);
-    assertEquals(0, t.process(4).livingCount());
-    t.start(1);
-    assertTrue(t.unsettled(), t.settle(BOUND) >= 0);
+    simulation.net().run(60 * SECOND);
+    assertEquals(0, simulation.process(4).livingCount());
+    simulation.start(1);
+    assertTrue(simulation.disagreement(), simulation.awaitAgreement(AGREEMENT_TIMEOUT_MICROS) >= 0);
   }
 
   @Test
-  public void twoStrangersUnderOneNameSettleOnOne() {
-    FleetSimulation t = fleet(6);
-    t.start(5, "n4");
-    t.net().run(t.net().now() + BOUND);
-    assertTrue("just one tells of itself", t.process(4).hasYielded() != t.process(5).hasYielded());
-    int holder = t.process(4).hasYielded() ? 5 : 4;
+  public void twoProcessesUnderOneNameAgreeOnAnOwner() {
+    FleetSimulation simulation = fleet(6);
+    simulation.start(5, "n4");
+    simulation.net().run(simulation.net().now() + AGREEMENT_TIMEOUT_MICROS);
+    assertTrue(
+        "exactly one process gives up the name",
+        simulation.process(4).hasYielded() != simulation.process(5).hasYielded());
+    int holder = simulation.process(4).hasYielded() ? 5 : 4;
     for (int i = 0; i < 4; i++) {
-      assertEquals(4, t.process(i).livingCount());
+      assertEquals(4, simulation.process(i).livingCount());
       assertTrue(
-          t.process(i).peers().stream().anyMatch(p -> p.claim().equals(t.process(holder).self())));
+          simulation.process(i).peers().stream()
+              .anyMatch(p -> p.claim().equals(simulation.process(holder).self())));
     }
-    t.kill(holder);
-    t.net().run(t.net().now() + 2 * BOUND);
-    assertTrue("the other takes the name", !t.process(9 - holder).hasYielded());
-    assertEquals(4, t.process(0).livingCount());
+    simulation.kill(holder);
+    simulation.net().run(simulation.net().now() + 2 * AGREEMENT_TIMEOUT_MICROS);
+    assertTrue(
+        "the other process takes over the name", !simulation.process(9 - holder).hasYielded());
+    assertEquals(4, simulation.process(0).livingCount());
   }
 
   @Test
   public void anotherNameAtAnAddressIsAnotherMember() {
-    FleetSimulation t = fleet(6);
-    t.start(5, "other");
-    long took = t.settle(BOUND);
-    assertTrue(t.unsettled(), took >= 0 && took < 10 * SECOND);
+    FleetSimulation simulation = fleet(6);
+    simulation.start(5, "other");
+    long elapsed = simulation.awaitAgreement(AGREEMENT_TIMEOUT_MICROS);
+    assertTrue(simulation.disagreement(), elapsed >= 0 && elapsed < 10 * SECOND);
     assertTrue(
-        t.process(0).peers().stream()
+        simulation.process(0).peers().stream()
             .anyMatch(p -> p.claim().name().equals("n5") && !p.claim().isLiving()));
   }
 
   /**
-   * Who grows beyond the number of the settings, whole or cut, takes no more than its part of what
-   * the window allows.
+   * When a fleet grows beyond the configured number of front ends, newcomers exceed the whole by no
+   * more than a quarter of a share each, with and without a partition.
    */
   @Test
-  public void newcomersDoNotOverfillTheWhole() {
+  public void newcomersDoNotExceedTheWhole() {
     for (int cut = 0; cut < 2; cut++) {
-      MembershipSettings s = settings(6);
-      FleetSimulation t = new FleetSimulation(10, s, 42 + cut, Membership::new);
+      MembershipSettings defaults = settings(6);
+      FleetSimulation simulation = new FleetSimulation(10, defaults, 42 + cut, Membership::new);
       for (int i = 6; i < 10; i++) {
-        t.kill(i);
+        simulation.kill(i);
       }
-      assertTrue(t.unsettled(), t.settle(BOUND) >= 0);
-      t.net().run(t.net().now() + 2 * FORGET);
+      assertTrue(
+          simulation.disagreement(), simulation.awaitAgreement(AGREEMENT_TIMEOUT_MICROS) >= 0);
+      simulation.net().run(simulation.net().now() + 2 * DEAD_RETENTION_MICROS);
       if (cut == 1) {
-        t.cut(i -> i % 2);
-        t.net().run(t.net().now() + 30 * SECOND);
+        simulation.cut(i -> i % 2);
+        simulation.net().run(simulation.net().now() + 30 * SECOND);
       }
       for (int i = 6; i < 10; i++) {
-        t.start(i);
+        simulation.start(i);
       }
-      double most = 0;
+      double maxShare = 0;
       for (int i = 0; i < 400; i++) {
-        t.net().run(t.net().now() + SECOND / 10);
-        most = Math.max(most, t.shares());
+        simulation.net().run(simulation.net().now() + SECOND / 10);
+        maxShare = Math.max(maxShare, simulation.totalShare());
       }
-      assertTrue("add up to " + most, most <= 1 + 4.0 / 4 / 6 + ROUNDING);
-      assertTrue("add up to " + t.shares() + " in the end", t.shares() <= 1 + ROUNDING);
+      assertTrue("shares add up to " + maxShare, maxShare <= 1 + 4.0 / 4 / 6 + ROUNDING);
+      assertTrue(
+          "shares add up to " + simulation.totalShare() + " at the end",
+          simulation.totalShare() <= 1 + ROUNDING);
     }
   }
 
-  /** Shares grow once those gone are surely gone, and not before. */
+  /** The shares of dead members are taken over once they are confirmed dead, and not before. */
   @Test
-  public void theSharesOfTheSurelyGoneAreTakenOver() {
-    FleetSimulation t = new FleetSimulation(10, settings(10), 42, Membership::new);
-    t.net().run(2 * FORGET);
+  public void sharesOfConfirmedDeadMembersAreTakenOver() {
+    FleetSimulation simulation = new FleetSimulation(10, settings(10), 42, Membership::new);
+    simulation.net().run(2 * DEAD_RETENTION_MICROS);
     for (int i = 5; i < 10; i++) {
-      t.kill(i);
+      simulation.kill(i);
     }
-    t.net().run(t.net().now() + 50 * SECOND);
-    assertEquals(10, t.process(0).divisor(t.clock(0)), ROUNDING);
-    t.net().run(t.net().now() + 60 * SECOND);
-    assertEquals(5, t.process(0).divisor(t.clock(0)), ROUNDING);
-    t.process(1).leave(t.clock(1)); // says so itself
-    t.kill(1);
-    t.net().run(t.net().now() + 5 * SECOND);
-    assertEquals(4, t.process(0).divisor(t.clock(0)), ROUNDING);
+    simulation.net().run(simulation.net().now() + 50 * SECOND);
+    assertEquals(10, simulation.process(0).divisor(simulation.clock(0)), ROUNDING);
+    simulation.net().run(simulation.net().now() + 60 * SECOND);
+    assertEquals(5, simulation.process(0).divisor(simulation.clock(0)), ROUNDING);
+    // A member that announces its departure needs no confirmation.
+    simulation.process(1).leave(simulation.clock(1));
+    simulation.kill(1);
+    simulation.net().run(simulation.net().now() + 5 * SECOND);
+    assertEquals(4, simulation.process(0).divisor(simulation.clock(0)), ROUNDING);
   }
 }
