--- a/src/main/java/umberrun/fleet/net/FleetManager.java
+++ b/src/main/java/umberrun/fleet/net/FleetManager.java
@@ -94,8 +94,7 @@
 
   private static final int MAX_SENDER_ADDRESSES = 256;
 
-  /** Microseconds in a millisecond. */
-  private static final long MS = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
   private final Vertx vertx;
   private final DispatchLoop dispatchLoop;
@@ -128,7 +127,11 @@
   private final Promise<Void> firstContact = Promise.promise();
 
   private final Random random;
+
+  /** The catalogue in which members are found; null for none. */
   private ConsulSource consul;
+
+  /** Null until the transport listens. */
   private Membership membership;
 
   /** The address that other members use; null until the transport listens. */
@@ -137,9 +140,11 @@
   private boolean stopped;
   private double frontEndCount;
   private double divisor;
+
+  /** The published number of calls per second. */
   private int traffic;
 
-  /** Calls accepted in all when the traffic was last measured, and when that was. */
+  /** The counter of accepted calls at {@code trafficMeasuredAt}. */
   private long previousCalls;
 
   private long trafficMeasuredAt;
@@ -228,13 +233,13 @@
         new MembershipSettings(
             options.name(),
             options.join(),
-            options.intervalMillis() * MS,
-            options.timeoutMillis() * MS,
-            options.exchangeMillis() * MS,
-            options.reconnectMillis() * MS,
-            options.sureMillis() * MS,
-            options.forgetMillis() * MS,
-            options.settleMillis() * MS,
+            options.intervalMillis() * MICROS_PER_MILLI,
+            options.timeoutMillis() * MICROS_PER_MILLI,
+            options.exchangeMillis() * MICROS_PER_MILLI,
+            options.reconnectMillis() * MICROS_PER_MILLI,
+            options.sureMillis() * MICROS_PER_MILLI,
+            options.forgetMillis() * MICROS_PER_MILLI,
+            options.settleMillis() * MICROS_PER_MILLI,
             options.members(),
             identity.frontEndCount(),
             true);
@@ -533,8 +538,9 @@
     members.add(memberJson(membership.self(), "self"));
     for (Peer p : membership.peers()) {
       JsonObject member = memberJson(p.claim(), p.claim().status().name().toLowerCase(Locale.ROOT));
-      member.addProperty("since_ms", (now - p.statusSince()) / MS);
-      member.addProperty("heard_ms", p.lastHeardAt() == 0 ? -1 : (now - p.lastHeardAt()) / MS);
+      member.addProperty("since_ms", (now - p.statusSince()) / MICROS_PER_MILLI);
+      member.addProperty(
+          "heard_ms", p.lastHeardAt() == 0 ? -1 : (now - p.lastHeardAt()) / MICROS_PER_MILLI);
       member.addProperty("round_trip_us", p.roundTrip());
       JsonArray accusers = new JsonArray();
       p.accusers().forEach(accusers::add);
@@ -592,7 +598,7 @@
   @Override
   public void startTimer(MembershipTimer timer, long at) {
     cancelTimer(timer);
-    long delay = Math.max(1, (at - clock.now() + MS - 1) / MS);
+    long delay = Math.max(1, (at - clock.now() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI);
     timers.put(
         timer,
         vertx.setTimer(
