--- a/src/main/java/umberrun/sim/ModelChecker.java
+++ b/src/main/java/umberrun/sim/ModelChecker.java
@@ -13,116 +13,115 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * Goes through all courses that a small world may take, each state once, and checks each. States
- * are told apart by 64 bits of their text, so that among ten million two share one with a chance of
- * one in 400,000.
+ * Explores all executions of a small model, visiting each state once, and checks each state. States
+ * are compared by a 64-bit hash of their text: among ten million states, two share a hash with a
+ * probability of one in 400,000.
  */
 public final class ModelChecker {
-  /** A small world, of which every step is a choice. */
+  /** A small model in which every step is a numbered choice. */
   public interface Model {
-    /** The same, to go on by itself. */
+    /** An independent copy. */
     Model copy();
 
-    /** How many steps may be possible now, 127 at the most. */
+    /** An upper bound on the number of steps possible now, at most 127. */
     int choiceCount();
 
-    /** Takes a step; false, and nothing is changed, where it is not possible after all. */
+    /** Takes a step. Returns false, without changing anything, if the step is not possible. */
     boolean takeStep(int choice);
 
-    /** What is wrong, or null. */
+    /** Describes what is wrong in this state, or null. */
     String violation();
 
-    /** All that decides what may follow. */
+    /** Text of all state that determines the possible executions from here. */
     String stateText();
   }
 
-  /** Courses to begin with, from which the cores go on each by itself. */
-  private static final int ROOTS = 256;
+  /** Number of paths to find before they are explored in parallel. */
+  private static final int MIN_ROOTS = 256;
 
-  /** A world and the steps that led to it. */
-  private record Course(Model world, byte[] steps) {}
+  /** A model and the choices that led to it. */
+  private record Path(Model model, byte[] steps) {}
 
-  private final Model begin;
-  private final int most;
-  private final Set<Long> met = ConcurrentHashMap.newKeySet();
-  private final AtomicInteger states = new AtomicInteger();
-  private final AtomicReference<String> wrong = new AtomicReference<>();
+  private final Model initial;
+  private final int maxStates;
+  private final Set<Long> visited = ConcurrentHashMap.newKeySet();
+  private final AtomicInteger stateCount = new AtomicInteger();
+  private final AtomicReference<String> violation = new AtomicReference<>();
 
   /**
-   * @param most states, after which it gives up
+   * @param maxStates number of states after which the check stops
    */
-  public ModelChecker(Model begin, int most) {
-    this.begin = begin;
-    this.most = most;
+  public ModelChecker(Model initial, int maxStates) {
+    this.initial = initial;
+    this.maxStates = maxStates;
   }
 
-  /** States met. */
+  /** Number of distinct states visited. */
   public int states() {
-    return states.get();
+    return stateCount.get();
   }
 
-  /** Whether all states were met, and not only as many as were allowed. */
+  /** Whether all states were visited, without a violation and without reaching the limit. */
   public boolean isExhaustive() {
-    return wrong.get() == null && states.get() < most;
+    return violation.get() == null && stateCount.get() < maxStates;
   }
 
-  /** What is wrong in some state and the steps that lead there, or null. */
+  /**
+   * Runs the check. Returns a violation and the steps that lead to it, or null if none was found.
+   */
   public String check() {
-    Deque<Course> open = new ArrayDeque<>();
-    open.add(new Course(begin, new byte[0]));
-    while (!open.isEmpty() && open.size() < ROOTS && !isOver()) {
-      open.addAll(expand(open.poll()));
+    Deque<Path> pending = new ArrayDeque<>();
+    pending.add(new Path(initial, new byte[0]));
+    while (!pending.isEmpty() && pending.size() < MIN_ROOTS && !isFinished()) {
+      pending.addAll(expand(pending.poll()));
     }
-    new ArrayList<>(open)
+    new ArrayList<>(pending)
         .parallelStream()
             .forEach(
                 root -> {
-                  Deque<Course> own = new ArrayDeque<>(List.of(root));
-                  while (!own.isEmpty() && !isOver()) {
-                    own.addAll(
-                        expand(own.pollLast())); // the deepest first: what goes wrong does so late
+                  Deque<Path> stack = new ArrayDeque<>(List.of(root));
+                  while (!stack.isEmpty() && !isFinished()) {
+                    // Depth first, as violations tend to show late.
+                    stack.addAll(expand(stack.pollLast()));
                   }
                 });
-    return wrong.get();
+    return violation.get();
   }
 
-  private boolean isOver() {
-    return states.get() >= most || wrong.get() != null;
+  private boolean isFinished() {
+    return stateCount.get() >= maxStates || violation.get() != null;
   }
 
-  /** The courses one step longer that lead to states not met before. */
-  private List<Course> expand(Course c) {
-    List<Course> further = new ArrayList<>();
-    Model w = c.world.copy();
-    for (int choice = w.choiceCount() - 1; choice >= 0; choice--) {
-      if (!w.takeStep(choice)) {
-        continue; // nothing has changed: the next choice is tried on the same
+  /** The paths that are one step longer and lead to states not visited before. */
+  private List<Path> expand(Path path) {
+    List<Path> successors = new ArrayList<>();
+    Model model = path.model.copy();
+    for (int choice = model.choiceCount() - 1; choice >= 0; choice--) {
+      if (!model.takeStep(choice)) {
+        continue; // the model is unchanged, so it serves for the next choice
       }
-      if (met.add(hash(w.stateText()))) {
-        states.incrementAndGet();
-        byte[] steps = Arrays.copyOf(c.steps, c.steps.length + 1);
-        steps[c.steps.length] = (byte) choice;
-        String fault = w.violation();
-        if (fault != null) {
-          wrong.compareAndSet(null, fault + " by steps " + Arrays.toString(steps));
+      if (visited.add(hash(model.stateText()))) {
+        stateCount.incrementAndGet();
+        byte[] steps = Arrays.copyOf(path.steps, path.steps.length + 1);
+        steps[path.steps.length] = (byte) choice;
+        String found = model.violation();
+        if (found != null) {
+          violation.compareAndSet(null, found + " by steps " + Arrays.toString(steps));
         }
-        further.add(new Course(w, steps));
+        successors.add(new Path(model, steps));
       }
-      w = c.world.copy();
+      model = path.model.copy();
     }
-    Collections.shuffle(
-        further,
-        new Random(
-            Arrays.hashCode(
-                c.steps))); // else the last choices of a few first ones take up all the states
-    return further;
+    // Unshuffled, the last choices after a few first steps would use up all allowed states.
+    Collections.shuffle(successors, new Random(Arrays.hashCode(path.steps)));
+    return successors;
   }
 
-  private static long hash(String s) {
-    long h = 0xcbf29ce484222325L;
-    for (int i = 0; i < s.length(); i++) {
-      h = (h ^ s.charAt(i)) * 0x100000001b3L;
+  private static long hash(String text) {
+    long hash = 0xcbf29ce484222325L;
+    for (int i = 0; i < text.length(); i++) {
+      hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
     }
-    return h ^ h >>> 29;
+    return hash ^ hash >>> 29;
   }
 }
--- a/src/main/java/umberrun/sim/VirtualNetwork.java
+++ b/src/main/java/umberrun/sim/VirtualNetwork.java
@@ -9,209 +9,237 @@
 import java.util.random.RandomGenerator;
 
 /**
- * A seeded clock and network for state machines that have neither: loss, delay, duplicates,
- * reordering (by unequal delays), cuts either way and machines that stand still. The same seed and
- * calls lead to the same course. Times are in microseconds.
+ * A simulated clock and network for state machines without I/O: loss, delay, duplicates, reordering
+ * by unequal delays, links cut in either direction and paused machines. The same seed and calls
+ * give the same execution. Times are in microseconds.
  */
 public final class VirtualNetwork {
-  /** A wait that can be taken back. */
+  /** An action scheduled for a point in time, which can be cancelled. */
   public static final class ScheduledTask {
     private final long at;
-    private final long order;
-    private final Runnable what;
+    private final long sequence;
+    private final Runnable action;
     private boolean cancelled;
 
-    private ScheduledTask(long at, long order, Runnable what) {
+    private ScheduledTask(long at, long sequence, Runnable action) {
       this.at = at;
-      this.order = order;
-      this.what = what;
+      this.sequence = sequence;
+      this.action = action;
     }
 
+    /** Keeps the action from running. */
     public void cancel() {
       cancelled = true;
     }
   }
 
-  /** What a machine that stands still keeps of what arrives, as a socket's buffer does. */
-  private static final int MOST_HELD = 200;
+  /**
+   * Number of messages kept for a paused machine; like a full socket buffer, it drops further ones.
+   */
+  private static final int MAX_BUFFERED_MESSAGES = 200;
 
-  private final PriorityQueue<ScheduledTask> steps =
+  private final PriorityQueue<ScheduledTask> tasks =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
   private final RandomGenerator random;
-  private final Set<Long> cuts = new HashSet<>();
+  private final Set<Long> cutLinks = new HashSet<>();
+
+  /** Messages that arrived at each machine while it was paused. */
+  private final Deque<Runnable>[] buffered;
 
-  /** By machine that stands still: what has come, and own waits that are over. */
-  private final Deque<Runnable>[] held;
+  /** Timers that ended at each machine while it was paused. */
+  private final Deque<Runnable>[] overdueTimers;
 
-  private final Deque<Runnable>[] due;
   private final boolean[] paused;
-  private final long[] setExtraDelay;
+  private final long[] extraDelayMicros;
   private long now;
-  private long order;
+  private long sequence;
   private double loss;
   private double duplicates;
-  private long leastDelay;
-  private long mostDelay;
+  private long minDelay;
+  private long maxDelay;
 
   /**
-   * @param nodes machines, named by their numbers from 0
+   * @param nodes number of machines, which are numbered from 0
+   * @param random source of loss, duplicates and delays
    */
   @SuppressWarnings("unchecked")
   public VirtualNetwork(int nodes, RandomGenerator random) {
     this.random = random;
     this.paused = new boolean[nodes];
-    this.setExtraDelay = new long[nodes];
-    this.held = new Deque[nodes];
-    this.due = new Deque[nodes];
+    this.extraDelayMicros = new long[nodes];
+    this.buffered = new Deque[nodes];
+    this.overdueTimers = new Deque[nodes];
     for (int i = 0; i < nodes; i++) {
-      held[i] = new ArrayDeque<>();
-      due[i] = new ArrayDeque<>();
+      buffered[i] = new ArrayDeque<>();
+      overdueTimers[i] = new ArrayDeque<>();
     }
     now = 1_000_000;
   }
 
-  /** How all links are from now on. */
-  public void setLinks(double loss, double duplicates, long leastDelay, long mostDelay) {
+  /**
+   * Sets the properties of all links from now on.
+   *
+   * @param loss probability that a message is lost
+   * @param duplicates probability that a message arrives twice
+   * @param minDelay shortest delay of a message, in microseconds
+   * @param maxDelay longest delay of a message, in microseconds
+   */
+  public void setLinks(double loss, double duplicates, long minDelay, long maxDelay) {
     this.loss = loss;
     this.duplicates = duplicates;
-    this.leastDelay = leastDelay;
-    this.mostDelay = mostDelay;
+    this.minDelay = minDelay;
+    this.maxDelay = maxDelay;
   }
 
+  /** The simulated time in microseconds. */
   public long now() {
     return now;
   }
 
-  /** Does something at a time, whatever stands still. */
-  public ScheduledTask at(long when, Runnable what) {
-    ScheduledTask s = new ScheduledTask(Math.max(now, when), order++, what);
-    steps.add(s);
-    return s;
+  /** Schedules an action that is independent of paused machines. */
+  public ScheduledTask at(long when, Runnable action) {
+    ScheduledTask task = new ScheduledTask(Math.max(now, when), sequence++, action);
+    tasks.add(task);
+    return task;
   }
 
-  /** Does something on a machine at a time: once it goes on, where it stands still then. */
-  public ScheduledTask at(int node, long when, Runnable what) {
-    ScheduledTask[] self = new ScheduledTask[1];
-    self[0] =
+  /**
+   * Schedules an action on a machine; if the machine is paused then, it runs when the machine
+   * resumes.
+   */
+  public ScheduledTask at(int node, long when, Runnable action) {
+    ScheduledTask[] task = new ScheduledTask[1];
+    task[0] =
         at(
             when,
             () ->
-                on(
+                runOn(
                     node,
                     true,
                     () -> {
-                      if (!self[0].cancelled) {
-                        what.run();
+                      if (!task[0].cancelled) {
+                        action.run();
                       }
                     }));
-    return self[0];
+    return task[0];
   }
 
-  /** Sends; what arrives does so once or twice, unless it is lost. */
+  /**
+   * Sends a message: {@code arrives} runs once or twice at the receiver, or not at all if it is
+   * lost.
+   */
   public void send(int from, int to, Runnable arrives) {
-    if (cuts.contains(way(from, to)) || random.nextDouble() < loss) {
+    if (cutLinks.contains(link(from, to)) || random.nextDouble() < loss) {
       return;
     }
     int copies = random.nextDouble() < duplicates ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      at(now + delay() + setExtraDelay[to], () -> on(to, false, arrives));
+      at(now + delay() + extraDelayMicros[to], () -> runOn(to, false, arrives));
     }
   }
 
+  /** A random delay within the limits of the links. */
   public long delay() {
-    return leastDelay + (long) ((mostDelay - leastDelay) * random.nextDouble());
+    return minDelay + (long) ((maxDelay - minDelay) * random.nextDouble());
   }
 
-  private void on(int node, boolean own, Runnable what) {
+  private void runOn(int node, boolean isTimer, Runnable action) {
     if (!paused[node]) {
-      what.run();
-    } else if (own) {
-      due[node].add(what);
-    } else if (held[node].size() < MOST_HELD) {
-      held[node].add(what);
+      action.run();
+    } else if (isTimer) {
+      overdueTimers[node].add(action);
+    } else if (buffered[node].size() < MAX_BUFFERED_MESSAGES) {
+      buffered[node].add(action);
     }
   }
 
-  /** Cuts one way. */
+  /** Cuts the link in one direction. */
   public void cut(int from, int to) {
-    cuts.add(way(from, to));
+    cutLinks.add(link(from, to));
   }
 
+  /** Restores the link in one direction. */
   public void heal(int from, int to) {
-    cuts.remove(way(from, to));
+    cutLinks.remove(link(from, to));
   }
 
+  /** Restores all links. */
   public void healAll() {
-    cuts.clear();
+    cutLinks.clear();
   }
 
-  /** Whether something could pass both ways. */
+  /** Whether the link is open in both directions. */
   public boolean isOpen(int a, int b) {
-    return !cuts.contains(way(a, b)) && !cuts.contains(way(b, a));
+    return !cutLinks.contains(link(a, b)) && !cutLinks.contains(link(b, a));
   }
 
+  /** Whether any link is cut. */
   public boolean isCut() {
-    return !cuts.isEmpty();
+    return !cutLinks.isEmpty();
   }
 
-  private static long way(int from, int to) {
+  private static long link(int from, int to) {
     return (long) from << 32 | to;
   }
 
-  /** What goes to a machine takes so much longer from now on. */
-  public void setExtraDelay(int node, long by) {
-    setExtraDelay[node] = by;
+  /** Delays messages to a machine by this much in addition, from now on. */
+  public void setExtraDelay(int node, long micros) {
+    extraDelayMicros[node] = micros;
   }
 
-  /** A machine stands still: what is due and what arrives waits. */
+  /** Pauses a machine: its timers and messages wait. */
   public void pause(int node) {
     paused[node] = true;
   }
 
+  /** Whether a machine is paused. */
   public boolean isPaused(int node) {
     return paused[node];
   }
 
   /**
-   * It goes on: first with the waits that are over, as an event loop does, then with what has come.
+   * Resumes a machine: as in an event loop, first its ended timers run, then its buffered messages.
    */
   public void resume(int node) {
     paused[node] = false;
-    for (Deque<Runnable> queue : List.of(due[node], held[node])) {
-      for (int n = queue.size(); n > 0; n--) {
+    for (Deque<Runnable> queue : List.of(overdueTimers[node], buffered[node])) {
+      for (int remaining = queue.size(); remaining > 0; remaining--) {
         queue.poll().run();
       }
     }
   }
 
-  /** What a machine had waiting is lost: it was started anew. */
+  /**
+   * Drops the waiting timers and messages of a machine, which has been restarted, and resumes it.
+   */
   public void discardPending(int node) {
-    held[node].clear();
-    due[node].clear();
+    buffered[node].clear();
+    overdueTimers[node].clear();
     paused[node] = false;
   }
 
   /**
-   * Takes the next step; false where there is none before {@code end}, to which the clock then
-   * goes.
+   * Runs the next action. If none is due before {@code end}, sets the clock to {@code end} and
+   * returns false.
    */
   public boolean step(long end) {
     while (true) {
-      ScheduledTask s = steps.peek();
-      if (s == null || s.at > end) {
+      ScheduledTask task = tasks.peek();
+      if (task == null || task.at > end) {
         now = Math.max(now, end);
         return false;
       }
-      steps.poll();
-      if (!s.cancelled) {
-        now = s.at;
-        s.what.run();
+      tasks.poll();
+      if (!task.cancelled) {
+        now = task.at;
+        task.action.run();
         return true;
       }
     }
   }
 
+  /** Runs all actions up to {@code end}. */
   public void run(long end) {
     while (step(end)) {
       continue;
