--- a/src/main/java/umberrun/consensus/ConsensusMessage.java
+++ b/src/main/java/umberrun/consensus/ConsensusMessage.java
@@ -2,67 +2,81 @@
 
 import java.util.List;
 
-/** Between those who propose and those who vote. {@code op} names the try that it belongs to. */
+/** A message between proposers and voters, or between front ends about who votes. */
 public sealed interface ConsensusMessage {
+  /** Number that the requester gave to the attempt; responses carry the number of their request. */
   long op();
 
-  /** Asks a voter what it has accepted last, and nothing of it: a look disturbs nobody's change. */
+  /**
+   * Asks a voter for its last accepted value. Changes no state, so it does not interfere with a
+   * change in progress.
+   */
   record Read(long op, String register) implements ConsensusMessage {}
 
-  /** What the voter has accepted last. */
+  /** Response to {@link Read}: the last accepted ballot and value. */
   record ReadResult(long op, Ballot accepted, RegisterValue value) implements ConsensusMessage {}
 
-  /** Asks a voter not to accept anything older. */
+  /** Phase 1 request: asks a voter to promise not to accept any ballot below this one. */
   record Prepare(long op, String register, Ballot ballot) implements ConsensusMessage {}
 
-  /** It will not, and what it has accepted last. */
+  /** Phase 1 response: the promise, with the last accepted ballot and value. */
   record Promised(long op, Ballot accepted, RegisterValue value) implements ConsensusMessage {}
 
-  /** Asks a voter to accept. */
+  /** Phase 2 request: asks a voter to accept a value under a ballot. */
   record Accept(long op, String register, Ballot ballot, RegisterValue value)
       implements ConsensusMessage {}
 
-  /** It has accepted. */
+  /** Phase 2 response: the voter has accepted the value. */
   record Accepted(long op) implements ConsensusMessage {}
 
-  /** It has promised more to another. */
+  /** Rejection of {@link Prepare} or {@link Accept}: the voter has already promised this ballot. */
   record Refused(long op, Ballot promised) implements ConsensusMessage {}
 
-  /** Tells a voter who votes from now on. */
+  /** Announces the current voter set to a voter. */
   record Install(long op, VoterSet voters) implements ConsensusMessage {}
 
-  /** It answers that set only, or a later one. */
+  /**
+   * Response to {@link Install}: from now on the voter answers requests of that set or a later one
+   * only.
+   */
   record Installed(long op) implements ConsensusMessage {}
 
-  /** The question was of a set that has been replaced: by this one, or by one before it. */
+  /**
+   * Rejection of a request whose voter set has been replaced.
+   *
+   * @param voters the newest set that the voter knows, which may itself have been replaced already
+   */
   record Outdated(long op, VoterSet voters) implements ConsensusMessage {}
 
-  /** The question was of a set that this voter has not been told of: whoever asks it, tells it. */
+  /**
+   * Rejection of a request whose voter set this voter does not know yet; the requester answers it
+   * with {@link Install}.
+   */
   record UnknownEpoch(long op) implements ConsensusMessage {}
 
-  /** Asks a voter which registers it has. */
+  /** Asks a voter for the names of its registers. */
   record ListRegisters(long op) implements ConsensusMessage {}
 
-  /** The registers that it has. */
+  /** Response to {@link ListRegisters}. */
   record RegisterNames(long op, List<String> names) implements ConsensusMessage {}
 
   /**
-   * Asks a front end for its place among the voters.
+   * Asks a front end whether and under which key it votes.
    *
-   * @param make whether it is to make a folder, where it holds on to none
-   * @param asOf the newest set that whoever asks knows
-   * @param names of the first set, in order, where there is no set yet; its own file must have the
-   *     same
+   * @param make whether it is to create a new store, unless it must keep the one it has
+   * @param asOf the newest set that the requester knows
+   * @param names of the first set, sorted, while there is no set yet; the front end rejects the
+   *     query if its own configuration names others. Empty otherwise.
    */
   record VoterQuery(long op, boolean make, VoterSet asOf, List<String> names)
       implements ConsensusMessage {}
 
   /**
-   * What it has.
+   * Response to {@link VoterQuery}.
    *
-   * @param key empty where it has no folder that it can vote on
+   * @param key of its voter, empty if it has no usable store
    * @param known the newest set that it knows
-   * @param fault why it has no folder, or would not make one
+   * @param fault why it has no usable store or did not create one, empty if there is no fault
    */
   record VoterDescription(long op, String key, VoterSet known, String fault)
       implements ConsensusMessage {}
--- a/src/main/java/umberrun/consensus/EpochVoter.java
+++ b/src/main/java/umberrun/consensus/EpochVoter.java
@@ -13,92 +13,100 @@
 import umberrun.consensus.Voter.VoteResult;
 
 /**
- * A voter's place in the sets that follow each other: answers what is asked in the epoch that it
- * has taken, says the newer set to what is older, and wants to be told of the set first by what is
- * newer. Free of I/O, as the voter is.
+ * Checks the epoch of each request before a {@link Voter} handles it: answers requests of the
+ * installed voter set, rejects older ones with the newer set, and responds to newer ones that their
+ * set must be installed first. It performs no I/O.
  */
 public class EpochVoter {
-  /** Where a folder keeps the set that was taken last; no register can have this name. */
-  static final String SLOT = "";
+  /** Slot that stores the installed voter set; no register can have the empty name. */
+  static final String VOTER_SET_SLOT = "";
 
   private final Voter voter;
   private VoterSet voters;
 
   /**
-   * @param synced what was on disk
-   * @param most registers
+   * @param stored the slots on disk
+   * @param maxRegisters limit on the number of registers
    */
-  public EpochVoter(Map<String, Slot> synced, int most) {
-    Map<String, Slot> registers = new TreeMap<>(synced);
-    Slot own = registers.remove(SLOT);
-    this.voter = new Voter(registers, most);
-    this.voters = own == null ? VoterSet.UNKNOWN : VoterSet.parse(own.value().text());
+  public EpochVoter(Map<String, Slot> stored, int maxRegisters) {
+    Map<String, Slot> registers = new TreeMap<>(stored);
+    Slot voterSetSlot = registers.remove(VOTER_SET_SLOT);
+    this.voter = new Voter(registers, maxRegisters);
+    this.voters =
+        voterSetSlot == null ? VoterSet.UNKNOWN : VoterSet.parse(voterSetSlot.value().text());
   }
 
-  /** What is on the disk of a voter that begins with a set. */
-  public static VoteResult initialSlot(VoterSet first) {
-    return new VoteResult(null, SLOT, slot(first));
+  /** The change that a voter of the first set has on disk at the start. */
+  public static VoteResult initialSlot(VoterSet firstSet) {
+    return new VoteResult(null, VOTER_SET_SLOT, slot(firstSet));
   }
 
-  private static Slot slot(VoterSet v) {
-    return new Slot(Ballot.NONE, Ballot.NONE, new RegisterValue(v.epoch(), v.text()));
+  private static Slot slot(VoterSet set) {
+    return new Slot(Ballot.NONE, Ballot.NONE, new RegisterValue(set.epoch(), set.text()));
   }
 
-  /** The set that it has taken. */
+  /** The installed voter set, {@link VoterSet#UNKNOWN} if there is none. */
   public VoterSet voters() {
     return voters;
   }
 
+  /** The state of all registers, by name. */
   public Map<String, Slot> slots() {
     return voter.slots();
   }
 
   /**
-   * Whether what was promised here must not be forgotten, so that the name can't get another
-   * folder: it votes by the set that whoever asks for it knows, or that set is older than the one
-   * taken here. (A folder that was never told of a set is kept and used: the set that names it may
-   * be written already.)
+   * Whether the promises in this store must not be lost, so that this front end may not be given a
+   * new store. That holds if the requester's set contains the key, or if that set is older than the
+   * installed one. (A store without an installed set is reused instead of replaced: a set that
+   * contains its key may already have been written.)
+   *
+   * @param key of this voter
+   * @param asOf the newest set that the requester knows
    */
   public boolean mustKeepStore(String key, VoterSet asOf) {
     return asOf.keys().contains(key) || asOf.epoch() < voters.epoch();
   }
 
   /**
-   * Answers a question of an epoch; as with {@link Voter#handle}, what the step holds is synced
-   * before the answer leaves.
+   * Handles a request that was made under an epoch. As with {@link Voter#handle}, the change in the
+   * result must be synced before the response is sent; null means no response.
    */
-  public VoteResult handle(long epoch, ConsensusMessage m) {
-    if (m instanceof Install i) {
-      if (i.voters().epoch() < voters.epoch()
-          || i.voters().epoch() == voters.epoch() && !i.voters().equals(voters)) {
-        return outdated(m);
+  public VoteResult handle(long epoch, ConsensusMessage request) {
+    if (request instanceof Install install) {
+      if (install.voters().epoch() < voters.epoch()
+          || install.voters().epoch() == voters.epoch() && !install.voters().equals(voters)) {
+        return outdated(request);
       }
-      boolean news = i.voters().epoch() > voters.epoch();
-      voters = news ? i.voters() : voters;
-      return new VoteResult(new Installed(m.op()), SLOT, news ? slot(voters) : null);
+      boolean isNewer = install.voters().epoch() > voters.epoch();
+      voters = isNewer ? install.voters() : voters;
+      return new VoteResult(
+          new Installed(request.op()), VOTER_SET_SLOT, isNewer ? slot(voters) : null);
     }
     if (isOutdated(epoch)) {
-      return outdated(m);
+      return outdated(request);
     }
     if (epoch != voters.epoch() || epoch == 0) {
-      return new VoteResult(new UnknownEpoch(m.op()), SLOT, null);
+      return new VoteResult(new UnknownEpoch(request.op()), VOTER_SET_SLOT, null);
     }
-    if (m instanceof ListRegisters) {
+    if (request instanceof ListRegisters) {
       return new VoteResult(
-          new RegisterNames(m.op(), List.copyOf(voter.slots().keySet())), SLOT, null);
+          new RegisterNames(request.op(), List.copyOf(voter.slots().keySet())),
+          VOTER_SET_SLOT,
+          null);
     }
-    return voter.handle(m);
+    return voter.handle(request);
   }
 
   /**
-   * Whether a question comes from a set that was replaced; guards against majorities of sets that
-   * do not meet.
+   * Whether a request belongs to a replaced set. Answering it could complete a majority that does
+   * not overlap those of the current set.
    */
   protected boolean isOutdated(long epoch) {
     return epoch < voters.epoch();
   }
 
-  private VoteResult outdated(ConsensusMessage m) {
-    return new VoteResult(new Outdated(m.op(), voters), SLOT, null);
+  private VoteResult outdated(ConsensusMessage request) {
+    return new VoteResult(new Outdated(request.op(), voters), VOTER_SET_SLOT, null);
   }
 }
--- a/src/main/java/umberrun/consensus/Proposer.java
+++ b/src/main/java/umberrun/consensus/Proposer.java
@@ -16,254 +16,279 @@
 import umberrun.consensus.ConsensusMessage.Refused;
 
 /**
- * Carries out changes of registers, one at a time, with a majority of the voters (a proposer of
- * CASPaxos). Free of I/O, threads and clocks; times are in microseconds of the own steady clock.
+ * A proposer of CASPaxos: changes registers, one change at a time, with a majority of the voters.
+ * It uses no I/O, threads or clocks; times are microseconds of the caller's monotonic clock.
  */
 public final class Proposer {
-  /** What becomes of a register. Called once a try, with what the register holds then. */
+  /**
+   * A change of a register. Each attempt applies it to the value that the register has then, so it
+   * may be called several times.
+   */
   public interface Change {
-    /** The value that follows, or {@code now} itself where nothing is to change. */
+    /** The new value, or {@code now} itself to leave the value as it is. */
     RegisterValue apply(RegisterValue now);
   }
 
-  /** What the proposer wants done. */
+  /** Receives what the proposer sends, its timer and its results. */
   public interface Outbox {
-    void send(String voter, ConsensusMessage m);
+    /** Sends a request to a voter. */
+    void send(String voter, ConsensusMessage message);
 
-    /** Starts the one wait of the proposer, in the place of the one before. */
+    /**
+     * Starts the proposer's only timer, replacing an earlier one; {@link #onTimer} is to be called
+     * at that time.
+     */
     void retry(long at);
 
     /**
-     * A change is over: what the register held then, or null where it is not known whether it was
-     * done.
+     * A change or read has ended.
+     *
+     * @param value the value of the register at the end, or null if the outcome is unknown
      */
     void done(RegisterValue value);
   }
 
-  private static final long FIRST_BACKOFF = 10_000;
+  private static final long INITIAL_BACKOFF_MICROS = 10_000;
 
-  /** For so long a look waits for further voters where those that answered differ. */
-  private static final long LOOK_ON = 25_000;
+  /**
+   * How long a read waits for the remaining voters after a majority has responded with different
+   * values.
+   */
+  private static final long READ_GRACE_MICROS = 25_000;
 
-  private static final long LAST_BACKOFF = 320_000;
+  private static final long MAX_BACKOFF_MICROS = 320_000;
 
   private final String name;
-  private List<String> setVoters;
-  private final long patience;
+  private List<String> voters;
+  private final long requestTimeout;
   private final RandomGenerator random;
   private final Outbox out;
   private long round;
   private long op;
   private String register;
   private Change change;
-  private long until;
+  private long deadline;
   private long backoff;
 
-  /** For the answers to the next try: twice as long after each that brought no majority. */
-  private long wait;
+  /** Time to wait for responses; doubled after each attempt without a majority. */
+  private long attemptTimeout;
+
+  /** The voters that responded positively in this phase. */
+  private final Set<String> votes = new HashSet<>();
 
-  /** Those that said yes in this phase; the newest of what they had accepted. */
-  private final Set<String> yes = new HashSet<>();
+  /** The highest accepted ballot among the promises. */
+  private Ballot highestAccepted;
 
-  private Ballot newest;
   private RegisterValue value;
-  private boolean looking;
+  private boolean reading;
 
-  /** How many have accepted the same last. */
-  private final Map<Ballot, Integer> looked = new TreeMap<>();
+  /** The number of voters by the ballot they accepted last, during a read. */
+  private final Map<Ballot, Integer> readVotes = new TreeMap<>();
 
   private boolean accepting;
-  private boolean waits;
+  private boolean backingOff;
 
   /**
-   * @param name its own, among all that propose; another with each start, as rounds are not
-   *     remembered
-   * @param patience for the answers to the first try of a change; longer for the next ones, as a
-   *     link may be slower than that
+   * @param name unique among all proposers, and new at each start, as rounds are not stored
+   * @param voters keys of the voters
+   * @param requestTimeout time to wait for the responses of the first attempt, in microseconds;
+   *     later attempts wait longer, as a link may be slower than that
+   * @param random source of the backoff
+   * @param out receives requests, timers and results
    */
   public Proposer(
-      String name, List<String> voters, long patience, RandomGenerator random, Outbox out) {
+      String name, List<String> voters, long requestTimeout, RandomGenerator random, Outbox out) {
     this.name = name;
-    this.setVoters = voters;
-    this.patience = patience;
+    this.voters = voters;
+    this.requestTimeout = requestTimeout;
     this.random = random;
     this.out = out;
   }
 
-  /** Others vote from now on: what was asked of those before is asked anew. */
-  public void setVoters(long now, List<String> next) {
-    setVoters = List.copyOf(next);
-    if (isBusy() && now < until) {
-      attempt(now);
+  /** Replaces the voters. A change in progress starts a new attempt with them. */
+  public void setVoters(long now, List<String> newVoters) {
+    voters = List.copyOf(newVoters);
+    if (isBusy() && now < deadline) {
+      startAttempt(now);
     } else {
-      next(); // what those before answer yet must not be counted among these
+      // Responses of the previous voters to the current attempt must not be counted.
+      resetAttempt();
     }
   }
 
+  /** Whether a change or read is in progress. */
   public boolean isBusy() {
     return change != null;
   }
 
-  /** Begins a change; given up at {@code until}. */
-  public void submit(long now, String register, Change change, long until) {
-    begin(register, change, until);
-    attempt(now);
+  /** Starts a change, which is given up at {@code deadline}. */
+  public void submit(long now, String register, Change change, long deadline) {
+    startChange(register, change, deadline);
+    startAttempt(now);
   }
 
   /**
-   * Begins a read. Where a majority has accepted the same last, that was chosen, and nothing later
-   * was before the read began, as that would need one of that majority: so it is linearizable
-   * without disturbing anybody's change. Else it goes on as a change that changes nothing.
+   * Starts a read, which is given up at {@code deadline}. If a majority reports the same accepted
+   * ballot, its value was chosen, and no later value was chosen before the read began, as that
+   * would have needed a voter of this majority. So the read is linearizable and does not interfere
+   * with changes. Otherwise it continues as a change that leaves the value as it is.
    */
-  public void read(long now, String register, long until) {
-    begin(register, v -> v, until);
-    next();
-    looking = true;
-    setVoters.forEach(v -> out.send(v, new Read(op, register)));
-    out.retry(Math.min(until, now + wait));
+  public void read(long now, String register, long deadline) {
+    startChange(register, current -> current, deadline);
+    resetAttempt();
+    reading = true;
+    voters.forEach(voter -> out.send(voter, new Read(op, register)));
+    out.retry(Math.min(deadline, now + attemptTimeout));
   }
 
-  private void begin(String register, Change change, long until) {
+  private void startChange(String register, Change change, long deadline) {
     if (isBusy()) {
-      throw new IllegalStateException("one change at a time");
+      throw new IllegalStateException("another change is in progress");
     }
     this.register = register;
     this.change = change;
-    this.until = until;
-    this.backoff = FIRST_BACKOFF;
-    this.wait = patience;
+    this.deadline = deadline;
+    this.backoff = INITIAL_BACKOFF_MICROS;
+    this.attemptTimeout = requestTimeout;
   }
 
-  private void next() {
+  private void resetAttempt() {
     op++;
-    yes.clear();
-    newest = Ballot.NONE;
+    votes.clear();
+    highestAccepted = Ballot.NONE;
     value = RegisterValue.NONE;
-    looking = false;
-    looked.clear();
+    reading = false;
+    readVotes.clear();
     accepting = false;
-    waits = false;
+    backingOff = false;
   }
 
-  private void attempt(long now) {
-    next();
+  private void startAttempt(long now) {
+    resetAttempt();
     round++;
-    setVoters.forEach(v -> out.send(v, new Prepare(op, register, new Ballot(round, name))));
-    out.retry(Math.min(until, now + wait));
+    voters.forEach(voter -> out.send(voter, new Prepare(op, register, new Ballot(round, name))));
+    out.retry(Math.min(deadline, now + attemptTimeout));
   }
 
-  /** A voter has answered. */
-  public void receive(long now, String voter, ConsensusMessage m) {
-    if (!awaits(m)) {
-      return; // to a try that is over
+  /** Handles the response of a voter. */
+  public void receive(long now, String voter, ConsensusMessage message) {
+    if (!awaits(message)) {
+      return; // belongs to an earlier attempt
     }
-    if (m instanceof ReadResult l && yes.add(voter)) {
-      round =
-          Math.max(
-              round,
-              l.accepted().round()); // else the first try of who only looked would be refused
-      if (looked.merge(l.accepted(), 1, Integer::sum) > setVoters.size() / 2) {
-        end(l.value());
-      } else if (yes.size() == setVoters.size()) {
-        attempt(now);
+    if (message instanceof ReadResult readResult && votes.add(voter)) {
+      // Without this, the first prepare after a read without a majority would be refused.
+      round = Math.max(round, readResult.accepted().round());
+      if (readVotes.merge(readResult.accepted(), 1, Integer::sum) > voters.size() / 2) {
+        complete(readResult.value());
+      } else if (votes.size() == voters.size()) {
+        startAttempt(now);
       } else if (isMajority()) {
-        out.retry(
-            Math.min(
-                until, now + LOOK_ON)); // a change is under way, which both phases would disturb
+        // A change is in progress; preparing a ballot now would interrupt it.
+        out.retry(Math.min(deadline, now + READ_GRACE_MICROS));
       }
-    } else if (m instanceof Refused r) {
-      round = Math.max(round, r.promised().round());
-      waits = true;
-      backoff = Math.min(LAST_BACKOFF, 2 * backoff);
-      out.retry(
-          Math.min(
-              until,
-              now
-                  + (long)
-                      (backoff * random.nextDouble()))); // so that two that meet do not meet again
-    } else if (m instanceof Promised p && yes.add(voter)) {
-      if (p.accepted().compareTo(newest) > 0) {
-        newest = p.accepted();
-        value = p.value();
+    } else if (message instanceof Refused refused) {
+      round = Math.max(round, refused.promised().round());
+      backingOff = true;
+      backoff = Math.min(MAX_BACKOFF_MICROS, 2 * backoff);
+      // The random delay keeps two competing proposers from colliding again.
+      out.retry(Math.min(deadline, now + (long) (backoff * random.nextDouble())));
+    } else if (message instanceof Promised promised && votes.add(voter)) {
+      if (promised.accepted().compareTo(highestAccepted) > 0) {
+        highestAccepted = promised.accepted();
+        value = promised.value();
       }
       if (isMajority()) {
         accepting = true;
-        yes.clear();
+        votes.clear();
         value = change.apply(value);
-        setVoters.forEach(
-            v -> out.send(v, new Accept(op, register, new Ballot(round, name), value)));
+        voters.forEach(
+            recipient ->
+                out.send(recipient, new Accept(op, register, new Ballot(round, name), value)));
       }
-    } else if (m instanceof Accepted && yes.add(voter) && isMajority()) {
-      end(value);
+    } else if (message instanceof Accepted && votes.add(voter) && isMajority()) {
+      complete(value);
     }
   }
 
-  /** Whether an answer may still make a difference. */
-  public boolean awaits(ConsensusMessage m) {
-    return isBusy() && !waits && isForCurrentPhase(m);
+  /** Whether a response may still have an effect. */
+  public boolean awaits(ConsensusMessage message) {
+    return isBusy() && !backingOff && isForCurrentPhase(message);
   }
 
-  /** Whether a question or an answer belongs to the phase that it is in. */
-  public boolean isForCurrentPhase(ConsensusMessage m) {
-    return m.op() == op
-        && (m instanceof Refused
-            || (looking
-                ? m instanceof Read || m instanceof ReadResult
+  /** Whether a request or response belongs to the current phase of the current attempt. */
+  public boolean isForCurrentPhase(ConsensusMessage message) {
+    return message.op() == op
+        && (message instanceof Refused
+            || (reading
+                ? message instanceof Read || message instanceof ReadResult
                 : accepting
-                    ? m instanceof Accept || m instanceof Accepted
-                    : m instanceof Prepare || m instanceof Promised));
+                    ? message instanceof Accept || message instanceof Accepted
+                    : message instanceof Prepare || message instanceof Promised));
   }
 
   /**
-   * Goes on where another of the same name is, for explorers; {@code same} is its change as this
-   * one is to make it.
+   * Takes over the state of a proposer of the same name, for model checking.
+   *
+   * @param copyChange maps the other's change to the one that this proposer is to apply
    */
-  public void copyStateFrom(Proposer o, UnaryOperator<Change> same) {
-    round = o.round;
-    op = o.op;
-    register = o.register;
-    change = o.change == null ? null : same.apply(o.change);
-    until = o.until;
-    backoff = o.backoff;
-    wait = o.wait;
-    yes.addAll(o.yes);
-    newest = o.newest;
-    value = o.value;
-    looking = o.looking;
-    looked.putAll(o.looked);
-    accepting = o.accepting;
-    waits = o.waits;
+  public void copyStateFrom(Proposer other, UnaryOperator<Change> copyChange) {
+    round = other.round;
+    op = other.op;
+    register = other.register;
+    change = other.change == null ? null : copyChange.apply(other.change);
+    deadline = other.deadline;
+    backoff = other.backoff;
+    attemptTimeout = other.attemptTimeout;
+    votes.addAll(other.votes);
+    highestAccepted = other.highestAccepted;
+    value = other.value;
+    reading = other.reading;
+    readVotes.putAll(other.readVotes);
+    accepting = other.accepting;
+    backingOff = other.backingOff;
   }
 
   /**
-   * All that decides what it does next but for who has said yes and how its tries are numbered, by
-   * which explorers tell states apart.
+   * Text of all state that determines the next steps, by which a model checker tells states apart.
+   * It leaves out the voters that responded and the attempt numbers.
    */
   public String stateText() {
-    return round + " " + wait + " " + isBusy() + " " + looking + looked + accepting + waits + " "
-        + newest + " " + value;
+    return round
+        + " "
+        + attemptTimeout
+        + " "
+        + isBusy()
+        + " "
+        + reading
+        + readVotes
+        + accepting
+        + backingOff
+        + " "
+        + highestAccepted
+        + " "
+        + value;
   }
 
-  /** Whether a voter has said yes in this phase. */
+  /** Whether a voter has responded positively in the current phase. */
   public boolean hasVoteOf(String voter) {
-    return yes.contains(voter);
+    return votes.contains(voter);
   }
 
   private boolean isMajority() {
-    return yes.size() > setVoters.size() / 2;
+    return votes.size() > voters.size() / 2;
   }
 
-  /** Its wait is over. */
+  /** Handles the end of the timer: gives up at the deadline, or starts another attempt. */
   public void onTimer(long now) {
-    if (isBusy() && now >= until) {
-      end(null);
+    if (isBusy() && now >= deadline) {
+      complete(null);
     } else if (isBusy()) {
-      wait = waits || looking && isMajority() ? wait : 2 * wait;
-      attempt(now);
+      attemptTimeout = backingOff || reading && isMajority() ? attemptTimeout : 2 * attemptTimeout;
+      startAttempt(now);
     }
   }
 
-  private void end(RegisterValue result) {
+  private void complete(RegisterValue result) {
     change = null;
     out.done(result);
   }
--- a/src/main/java/umberrun/consensus/Voter.java
+++ b/src/main/java/umberrun/consensus/Voter.java
@@ -12,12 +12,18 @@
 import umberrun.consensus.ConsensusMessage.Refused;
 
 /**
- * One voter's memory of all registers (an acceptor of CASPaxos). Free of I/O: whoever carries it
- * writes what {@link #handle} changed, and syncs, <em>before</em> the answer leaves; after a crash
- * it begins with what was synced.
+ * The acceptor of the CASPaxos registers. It performs no I/O: the caller must write and sync what
+ * {@link #handle} changed <em>before</em> it sends the response, and after a crash starts a new
+ * voter from what was synced.
  */
 public class Voter {
-  /** What is remembered of a register. */
+  /**
+   * The state of one register.
+   *
+   * @param promised the highest promised ballot
+   * @param accepted the ballot of the last accepted value
+   * @param value the last accepted value
+   */
   public record Slot(Ballot promised, Ballot accepted, RegisterValue value) {
     static final Slot NONE = new Slot(Ballot.NONE, Ballot.NONE, RegisterValue.NONE);
 
@@ -28,58 +34,69 @@
   }
 
   /**
-   * An answer, and what must be on disk, with all before it, before it leaves; {@code slot} null
-   * where nothing has changed.
+   * A response and the change that must be on disk, along with all earlier changes, before it is
+   * sent.
+   *
+   * @param answer the response
+   * @param register name of the slot
+   * @param slot the new state of the register, null if nothing has changed
    */
   public record VoteResult(ConsensusMessage answer, String register, Slot slot) {}
 
   private final Map<String, Slot> slots;
-  private final int most;
+  private final int maxRegisters;
 
   /**
-   * @param synced what was on disk
-   * @param most registers: a vote on a further one is refused
+   * @param stored the slots on disk, by register name
+   * @param maxRegisters requests that would add a register beyond this number are not answered
    */
-  public Voter(Map<String, Slot> synced, int most) {
-    this.slots = new TreeMap<>(synced);
-    this.most = most;
+  public Voter(Map<String, Slot> stored, int maxRegisters) {
+    this.slots = new TreeMap<>(stored);
+    this.maxRegisters = maxRegisters;
   }
 
-  /** Answers a proposer. Null where it is not answered: a register too many, a value too long. */
-  public VoteResult handle(ConsensusMessage m) {
-    if (m instanceof Read l) {
-      Slot s = slots.getOrDefault(l.register(), Slot.NONE);
-      return new VoteResult(new ReadResult(l.op(), s.accepted, s.value), l.register(), null);
+  /**
+   * Handles a request of a proposer. Null means no response: there are too many registers, or the
+   * value is too long.
+   */
+  public VoteResult handle(ConsensusMessage request) {
+    if (request instanceof Read read) {
+      Slot slot = slots.getOrDefault(read.register(), Slot.NONE);
+      return new VoteResult(
+          new ReadResult(read.op(), slot.accepted, slot.value), read.register(), null);
     }
-    if (m instanceof Prepare p) {
-      Slot s = slots.getOrDefault(p.register(), Slot.NONE);
-      if (p.ballot().compareTo(s.promised) <= 0) {
-        return new VoteResult(new Refused(p.op(), s.promised), p.register(), null);
+    if (request instanceof Prepare prepare) {
+      Slot slot = slots.getOrDefault(prepare.register(), Slot.NONE);
+      if (prepare.ballot().compareTo(slot.promised) <= 0) {
+        return new VoteResult(new Refused(prepare.op(), slot.promised), prepare.register(), null);
       }
       return store(
-          p.register(),
-          new Slot(p.ballot(), s.accepted, s.value),
-          new Promised(p.op(), s.accepted, s.value));
+          prepare.register(),
+          new Slot(prepare.ballot(), slot.accepted, slot.value),
+          new Promised(prepare.op(), slot.accepted, slot.value));
     }
-    if (m instanceof Accept a && a.value().isShort()) {
-      Slot s = slots.getOrDefault(a.register(), Slot.NONE);
-      if (a.ballot().compareTo(s.promised) < 0) {
-        return new VoteResult(new Refused(a.op(), s.promised), a.register(), null);
+    if (request instanceof Accept accept && accept.value().isShort()) {
+      Slot slot = slots.getOrDefault(accept.register(), Slot.NONE);
+      if (accept.ballot().compareTo(slot.promised) < 0) {
+        return new VoteResult(new Refused(accept.op(), slot.promised), accept.register(), null);
       }
-      return store(a.register(), new Slot(a.ballot(), a.ballot(), a.value()), new Accepted(a.op()));
+      return store(
+          accept.register(),
+          new Slot(accept.ballot(), accept.ballot(), accept.value()),
+          new Accepted(accept.op()));
     }
     return null;
   }
 
   private VoteResult store(String register, Slot slot, ConsensusMessage answer) {
-    if (!slots.containsKey(register) && slots.size() >= most) {
+    if (!slots.containsKey(register) && slots.size() >= maxRegisters) {
       return null;
     }
     slots.put(register, slot);
     return new VoteResult(answer, register, slot);
   }
 
-  /** All that it remembers. */
+  /** The state of all registers, by name. */
   public Map<String, Slot> slots() {
     return Collections.unmodifiableMap(slots);
   }
--- a/src/main/java/umberrun/consensus/VoterBootstrap.java
+++ b/src/main/java/umberrun/consensus/VoterBootstrap.java
@@ -9,114 +9,136 @@
 import umberrun.consensus.ConsensusMessage.VoterQuery;
 
 /**
- * Founds the first set of voters: all that are named must answer, name the same, and none may have
- * voted before, since a majority of those with a memory may live behind a cut. Free of I/O, threads
- * and clocks. Begun twice it comes to the same set.
+ * Creates the first voter set. All named front ends must respond and be configured with the same
+ * names, and none of them may know a voter set: a majority of existing voters could be alive behind
+ * a network partition. Running it twice gives the same set. It uses no I/O, threads or clocks;
+ * times are in microseconds.
  */
 public final class VoterBootstrap {
-  /** What it wants done. */
+  /** Receives requests, timers and the result. */
   public interface Outbox {
-    /** To a front end by its name. */
-    void send(String name, ConsensusMessage m);
+    /** Sends a request to a front end. */
+    void send(String name, ConsensusMessage message);
 
+    /**
+     * Starts the only timer, replacing an earlier one; {@link #onTimer} is to be called at that
+     * time.
+     */
     void startTimer(long at);
 
-    /** It is over: null, or why it did not come about. */
+    /**
+     * The bootstrap has ended.
+     *
+     * @param founded the first set, null if it was not created
+     * @param fault why it was not created, null if it was
+     */
     void completed(VoterSet founded, String fault);
   }
 
   private enum Phase {
-    ASKING,
-    MAKING,
+    QUERYING,
+    CREATING,
     INSTALLING,
-    OVER
+    FINISHED
   }
 
-  private static final long AGAIN = 200_000;
+  private static final long RESEND_INTERVAL_MICROS = 200_000;
 
   private final List<String> names;
-  private final long until;
+  private final long deadline;
   private final Outbox out;
-  private final Map<String, String> said = new TreeMap<>();
-  private Phase phase = Phase.ASKING;
-  private VoterSet first;
+
+  /**
+   * The front ends that have responded in this phase, each with the key of its voter; empty if it
+   * has none or the phase does not need it.
+   */
+  private final Map<String, String> keyByName = new TreeMap<>();
+
+  private Phase phase = Phase.QUERYING;
+  private VoterSet firstSet;
   private long op = 1;
 
-  public VoterBootstrap(List<String> names, long until, Outbox out) {
+  /**
+   * @param names of the front ends that are to vote
+   * @param deadline when the bootstrap is given up
+   */
+  public VoterBootstrap(List<String> names, long deadline, Outbox out) {
     this.names = names.stream().sorted().toList();
-    this.until = until;
+    this.deadline = deadline;
     this.out = out;
   }
 
+  /** Sends the first requests. */
   public void start(long now) {
-    again(now);
+    sendRequests(now);
   }
 
-  private void again(long now) {
+  private void sendRequests(long now) {
     for (String name : names) {
-      if (!said.containsKey(name)) {
+      if (!keyByName.containsKey(name)) {
         out.send(
             name,
             phase == Phase.INSTALLING
-                ? new Install(op, first)
-                : new VoterQuery(op, phase == Phase.MAKING, VoterSet.UNKNOWN, names));
+                ? new Install(op, firstSet)
+                : new VoterQuery(op, phase == Phase.CREATING, VoterSet.UNKNOWN, names));
       }
     }
-    out.startTimer(Math.min(until, now + AGAIN));
+    out.startTimer(Math.min(deadline, now + RESEND_INTERVAL_MICROS));
   }
 
-  /** Whom an answer is for: a key in {@link Phase#INSTALLING}, else nobody yet. */
+  /** The key that a request to a front end is addressed to: empty until the keys are known. */
   public String keyOf(String name) {
-    return first == null ? "" : first.keyOf(name);
+    return firstSet == null ? "" : firstSet.keyOf(name);
   }
 
-  public void receive(long now, String name, ConsensusMessage m) {
-    if (phase == Phase.OVER || m.op() != op || !names.contains(name)) {
+  /** Handles the response of a front end. */
+  public void receive(long now, String name, ConsensusMessage message) {
+    if (phase == Phase.FINISHED || message.op() != op || !names.contains(name)) {
       return;
     }
-    if (m instanceof VoterDescription s && phase != Phase.INSTALLING) {
-      if (s.known().epoch() > 0) {
-        end(null, name + " knows of voters already: " + s.known().keys());
-      } else if (!s.fault().isEmpty()) {
-        end(null, name + ": " + s.fault());
-      } else if (phase == Phase.ASKING || !s.key().isEmpty()) {
-        said.put(name, s.key());
+    if (message instanceof VoterDescription description && phase != Phase.INSTALLING) {
+      if (description.known().epoch() > 0) {
+        finish(null, name + " knows of voters already: " + description.known().keys());
+      } else if (!description.fault().isEmpty()) {
+        finish(null, name + ": " + description.fault());
+      } else if (phase == Phase.QUERYING || !description.key().isEmpty()) {
+        keyByName.put(name, description.key());
       }
-    } else if (m instanceof Installed && phase == Phase.INSTALLING) {
-      said.put(name, "");
+    } else if (message instanceof Installed && phase == Phase.INSTALLING) {
+      keyByName.put(name, "");
     } else if (phase == Phase.INSTALLING) {
-      end(null, name + " has taken another set");
+      finish(null, name + " has taken another set");
     }
-    if (phase != Phase.OVER && said.size() == names.size()) {
-      further(now);
+    if (phase != Phase.FINISHED && keyByName.size() == names.size()) {
+      startNextPhase(now);
     }
   }
 
-  private void further(long now) {
+  private void startNextPhase(long now) {
     if (phase == Phase.INSTALLING) {
-      end(first, null);
+      finish(firstSet, null);
       return;
     }
-    if (phase == Phase.MAKING) {
-      first = VoterSet.first(List.copyOf(said.values()));
+    if (phase == Phase.CREATING) {
+      firstSet = VoterSet.first(List.copyOf(keyByName.values()));
     }
-    phase = phase == Phase.ASKING ? Phase.MAKING : Phase.INSTALLING;
-    said.clear();
+    phase = phase == Phase.QUERYING ? Phase.CREATING : Phase.INSTALLING;
+    keyByName.clear();
     op++;
-    again(now);
+    sendRequests(now);
   }
 
-  /** Its wait is over. */
+  /** Repeats the requests that were not answered, or gives up at the deadline. */
   public void onTimer(long now) {
-    if (phase != Phase.OVER && now >= until) {
-      end(null, "not all answer; those that do: " + said.keySet());
-    } else if (phase != Phase.OVER) {
-      again(now);
+    if (phase != Phase.FINISHED && now >= deadline) {
+      finish(null, "not all answer; those that do: " + keyByName.keySet());
+    } else if (phase != Phase.FINISHED) {
+      sendRequests(now);
     }
   }
 
-  private void end(VoterSet founded, String fault) {
-    phase = Phase.OVER;
+  private void finish(VoterSet founded, String fault) {
+    phase = Phase.FINISHED;
     out.completed(founded, fault);
   }
 }
--- a/src/main/java/umberrun/consensus/VoterReplacement.java
+++ b/src/main/java/umberrun/consensus/VoterReplacement.java
@@ -13,26 +13,38 @@
 import umberrun.consensus.ConsensusMessage.RegisterNames;
 
 /**
- * Replaces one voter by another while all goes on, or goes on with a replacement that somebody
- * began. Free of I/O, threads and clocks. It goes round: read which set stands in the register;
- * have majorities of that set and of the one before it take it; then either it is what is wanted,
- * or the next set is written. The argument is in {@code docs/leases.md}.
+ * Replaces one voter by another while the registers stay in use, or completes a replacement that
+ * another process began. It repeats these steps: read the set that the register holds; install it
+ * at majorities of that set and of the previous one; then finish if it is the wanted set, or else
+ * write the next one. A voter that has installed a set rejects requests of older ones, so no
+ * replaced set can complete a majority any more when the next set is written. It uses no I/O,
+ * threads or clocks; times are in microseconds.
  */
 public class VoterReplacement {
-  /** What it wants done. */
+  /** Receives requests, register changes, timers and the result. */
   public interface Outbox {
-    void send(String voter, ConsensusMessage m);
+    /** Sends a request to a voter. */
+    void send(String voter, ConsensusMessage message);
 
-    /** Has a register changed by the proposer; {@code onRegisterResult} is owed for it. */
-    void propose(String register, Proposer.Change change, long until);
+    /**
+     * Has a proposer change a register, then calls {@link #onRegisterResult} once with the result.
+     */
+    void propose(String register, Proposer.Change change, long deadline);
 
-    /** This set is known to stand, and is to be asked from now on. */
+    /** The set is installed at majorities; from now on requests go to its voters. */
     void adopt(VoterSet voters);
 
-    /** Starts the one wait, in the place of the one before. */
+    /**
+     * Starts the only timer, replacing an earlier one; {@link #onTimer} is to be called at that
+     * time.
+     */
     void startTimer(long at);
 
-    /** It is over: null, or why it did not come about. */
+    /**
+     * The replacement has ended.
+     *
+     * @param fault why it failed, null if it succeeded
+     */
     void completed(String fault);
   }
 
@@ -40,190 +52,202 @@
     READING,
     INSTALLING,
     LISTING,
-    CARRYING,
+    COPYING,
     WRITING,
-    OVER
+    FINISHED
   }
 
-  private static final long AGAIN = 200_000;
-  private static final long PATIENCE = 3_000_000;
+  private static final long RESEND_INTERVAL_MICROS = 200_000;
+  private static final long CHANGE_TIMEOUT_MICROS = 3_000_000;
 
-  private final String comes;
-  private final String leaves;
-  private final long until;
+  private final String newcomer;
+  private final String leaver;
+  private final long deadline;
   private final Outbox out;
-  private Phase phase = Phase.OVER;
+  private Phase phase = Phase.FINISHED;
   private VoterSet known;
-  private long version;
+  private long setVersion;
   private long op;
-  private final Set<String> said = new HashSet<>();
-  private final Set<String> names = new TreeSet<>();
-  private Deque<String> toCarry = new ArrayDeque<>();
+  private final Set<String> answered = new HashSet<>();
+  private final Set<String> registerNames = new TreeSet<>();
+  private Deque<String> registersToCopy = new ArrayDeque<>();
 
   /**
    * @param known the set that is asked first
-   * @param comes key of the newcomer, or empty to go on only with what somebody began
-   * @param leaves key of the voter that it replaces
-   * @param until when it is given up
+   * @param newcomer key of the voter to add, empty to only complete a replacement that was begun
+   * @param leaver key of the voter to remove
+   * @param deadline when the replacement is given up
    */
-  public VoterReplacement(VoterSet known, String comes, String leaves, long until, Outbox out) {
+  public VoterReplacement(
+      VoterSet known, String newcomer, String leaver, long deadline, Outbox out) {
     this.known = known;
-    this.comes = comes;
-    this.leaves = leaves;
-    this.until = until;
+    this.newcomer = newcomer;
+    this.leaver = leaver;
+    this.deadline = deadline;
     this.out = out;
   }
 
+  /** Reads the current set. */
   public void start(long now) {
-    read(now);
+    readSet(now);
   }
 
-  private void read(long now) {
+  private void readSet(long now) {
     phase = Phase.READING;
-    VoterSet begun = known;
+    VoterSet initialSet = known;
     out.propose(
         VoterSet.REGISTER,
-        v -> v.text().isEmpty() ? v.withText(begun.text()) : v,
-        Math.min(until, now + PATIENCE));
+        value -> value.text().isEmpty() ? value.withText(initialSet.text()) : value,
+        Math.min(deadline, now + CHANGE_TIMEOUT_MICROS));
   }
 
-  /** A change of a register is over: what it held then, or null where that is not known. */
-  public void onRegisterResult(long now, RegisterValue v) {
-    if (phase == Phase.OVER) {
+  /**
+   * Handles the result of a register change.
+   *
+   * @param value what the register held at the end, null if the outcome is unknown
+   */
+  public void onRegisterResult(long now, RegisterValue value) {
+    if (phase == Phase.FINISHED) {
       return;
     }
-    if (v == null) {
-      if (now >= until) {
-        end("no majority of " + known.keys() + " answers");
-      } else if (phase == Phase.CARRYING) {
-        carry(now);
+    if (value == null) {
+      if (now >= deadline) {
+        finish("no majority of " + known.keys() + " answers");
+      } else if (phase == Phase.COPYING) {
+        copyNextRegister(now);
       } else {
-        read(now);
+        readSet(now);
       }
       return;
     }
     switch (phase) {
       case READING -> {
-        version = v.version();
-        known = VoterSet.parse(v.text());
-        ask(now, Phase.INSTALLING);
+        setVersion = value.version();
+        known = VoterSet.parse(value.text());
+        startRound(now, Phase.INSTALLING);
       }
-      case CARRYING -> {
-        toCarry.poll();
-        carry(now);
+      case COPYING -> {
+        registersToCopy.poll();
+        copyNextRegister(now);
       }
-      case WRITING -> read(now); // whoever has written: what stands there is gone on with
+      // Another process may have written a set; continue with the one that the register holds.
+      case WRITING -> readSet(now);
       default -> {}
     }
   }
 
-  private void ask(long now, Phase next) {
-    phase = next;
-    said.clear();
+  private void startRound(long now, Phase nextPhase) {
+    phase = nextPhase;
+    answered.clear();
     op++;
-    names.clear();
-    again(now);
+    registerNames.clear();
+    sendRequests(now);
   }
 
-  private void again(long now) {
-    Set<String> all = new TreeSet<>(known.keys());
-    all.addAll(phase == Phase.INSTALLING ? known.former() : List.of());
-    all.removeAll(said);
-    all.forEach(
-        k ->
+  private void sendRequests(long now) {
+    Set<String> recipients = new TreeSet<>(known.keys());
+    recipients.addAll(phase == Phase.INSTALLING ? known.former() : List.of());
+    recipients.removeAll(answered);
+    recipients.forEach(
+        key ->
             out.send(
-                k, phase == Phase.INSTALLING ? new Install(op, known) : new ListRegisters(op)));
-    out.startTimer(Math.min(until, now + AGAIN));
+                key, phase == Phase.INSTALLING ? new Install(op, known) : new ListRegisters(op)));
+    out.startTimer(Math.min(deadline, now + RESEND_INTERVAL_MICROS));
   }
 
-  /** A voter has answered. */
-  public void receive(long now, String voter, ConsensusMessage m) {
-    if (phase != Phase.INSTALLING && phase != Phase.LISTING || m.op() != op) {
-      return; // late: a change of a register is under way, and its outcome is to be told first
+  /** Handles the response of a voter. */
+  public void receive(long now, String voter, ConsensusMessage message) {
+    if (phase != Phase.INSTALLING && phase != Phase.LISTING || message.op() != op) {
+      return; // late: the result of the register change in progress comes first
     }
-    if (m instanceof Outdated) {
-      read(now);
+    if (message instanceof Outdated) {
+      readSet(now);
     } else if (phase == Phase.INSTALLING
-        && m instanceof Installed
-        && said.add(voter)
-        && isInstalled()) {
+        && message instanceof Installed
+        && answered.add(voter)
+        && isInstalledByMajorities()) {
       out.adopt(known);
       if (known.isTransitional() && copiesRegisters()) {
-        ask(now, Phase.LISTING);
+        startRound(now, Phase.LISTING);
       } else if (known.isTransitional()) {
-        write(now, known.withoutLeaving());
-      } else if (comes.isEmpty() || known.keys().contains(comes)) {
-        end(null);
-      } else if (!known.keys().contains(leaves)) {
-        end(leaves + " does not vote");
+        writeSet(now, known.withoutLeaving());
+      } else if (newcomer.isEmpty() || known.keys().contains(newcomer)) {
+        finish(null);
+      } else if (!known.keys().contains(leaver)) {
+        finish(leaver + " does not vote");
       } else {
-        write(now, nextVoterSet());
+        writeSet(now, nextVoterSet());
       }
-    } else if (phase == Phase.LISTING && m instanceof RegisterNames n && said.add(voter)) {
-      names.addAll(n.names());
-      if (VoterSet.isMajority(said, known.keys())) {
-        toCarry = new ArrayDeque<>(names);
-        phase = Phase.CARRYING;
-        carry(now);
+    } else if (phase == Phase.LISTING
+        && message instanceof RegisterNames response
+        && answered.add(voter)) {
+      registerNames.addAll(response.names());
+      if (VoterSet.isMajority(answered, known.keys())) {
+        registersToCopy = new ArrayDeque<>(registerNames);
+        phase = Phase.COPYING;
+        copyNextRegister(now);
       }
     }
   }
 
-  /** Guards against majorities of the set before, which need not meet those of the next one. */
-  private boolean isInstalled() {
-    return VoterSet.isMajority(said, known.keys())
-        && (known.former().isEmpty() || VoterSet.isMajority(said, known.former()));
+  /**
+   * Requires a majority of the previous set as well: its majorities need not overlap those of the
+   * set after this one.
+   */
+  private boolean isInstalledByMajorities() {
+    return VoterSet.isMajority(answered, known.keys())
+        && (known.former().isEmpty() || VoterSet.isMajority(answered, known.former()));
   }
 
-  /** The set that follows: tests put in one that swaps two at once. */
+  /** The set to write next. Tests override it with one that replaces a voter in a single step. */
   protected VoterSet nextVoterSet() {
-    return known.with(comes, leaves);
+    return known.withReplacement(newcomer, leaver);
   }
 
-  /** Whether what the registers hold is written anew before one leaves. */
+  /** Whether the registers are written again before a voter leaves. Tests turn it off. */
   protected boolean copiesRegisters() {
     return true;
   }
 
   /**
-   * Writes each register as it is, by a majority of the set on the way: one of those is in each
-   * majority of the next set.
+   * Writes each register unchanged at a majority of the transitional set, so that each majority of
+   * the next set contains a voter that has the value.
    */
-  private void carry(long now) {
-    String next = toCarry.peek();
-    if (next == null) {
-      write(now, known.withoutLeaving());
+  private void copyNextRegister(long now) {
+    String register = registersToCopy.peek();
+    if (register == null) {
+      writeSet(now, known.withoutLeaving());
     } else {
-      out.propose(next, v -> v, Math.min(until, now + PATIENCE));
+      out.propose(register, value -> value, Math.min(deadline, now + CHANGE_TIMEOUT_MICROS));
     }
   }
 
-  private void write(long now, VoterSet next) {
+  private void writeSet(long now, VoterSet next) {
     phase = Phase.WRITING;
-    long mine = version;
+    long expectedVersion = setVersion;
     out.propose(
         VoterSet.REGISTER,
-        v -> v.version() == mine ? v.withText(next.text()) : v,
-        Math.min(until, now + PATIENCE));
+        value -> value.version() == expectedVersion ? value.withText(next.text()) : value,
+        Math.min(deadline, now + CHANGE_TIMEOUT_MICROS));
   }
 
-  /** Its wait is over. */
+  /** Repeats the requests that were not answered, or gives up at the deadline. */
   public void onTimer(long now) {
     if (phase == Phase.INSTALLING || phase == Phase.LISTING) {
-      if (now >= until) {
-        end(
+      if (now >= deadline) {
+        finish(
             "not enough of "
                 + known.keys()
                 + (known.former().isEmpty() ? "" : " and " + known.former())
                 + " answer");
       } else {
-        again(now);
+        sendRequests(now);
       }
     }
   }
 
-  private void end(String fault) {
-    phase = Phase.OVER;
+  private void finish(String fault) {
+    phase = Phase.FINISHED;
     out.completed(fault);
   }
 }
--- a/src/main/java/umberrun/consensus/disk/VoterStore.java
+++ b/src/main/java/umberrun/consensus/disk/VoterStore.java
@@ -21,13 +21,13 @@
 import umberrun.consensus.Voter.VoteResult;
 
 /**
- * A voter's memory on disk: a store that cuts off a torn tail by its checksums, and beside it a
- * seal, which says up to where the store was synced when answers left. A store that is behind its
- * seal has lost what was promised, and its voter never votes on it. All calls block, and belong
- * beside the event loop.
+ * A voter's slots on disk: an MVStore, which drops a torn tail by its checksums, and a seal file,
+ * which holds the number of the last write that was synced before responses were sent. A store that
+ * is behind its seal has lost promises, and its voter must not vote. All calls block and must not
+ * run on the event loop.
  */
 public final class VoterStore implements AutoCloseable {
-  /** A folder that can't be voted on; the message says why in one plain line. */
+  /** The store must not be used for voting; the message gives the reason in one line. */
   public static final class UnusableStore extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -36,20 +36,20 @@
     }
   }
 
-  private static final String STORE = "registers.mv";
-  private static final String SEAL = "seal";
-  private static final String LOCK = "lock";
-  private static final String COUNT = "count";
-  private static final String OWNER = "owner";
+  private static final String STORE_FILE = "registers.mv";
+  private static final String SEAL_FILE = "seal";
+  private static final String LOCK_FILE = "lock";
+  private static final String COUNT_KEY = "count";
+  private static final String OWNER_KEY = "owner";
   private static final int SEAL_BYTES = 2 * Long.BYTES;
   private static final int CACHE_MB = 1;
 
   private final MVStore store;
   private final MVMap<String, String> slots;
-  private final MVMap<String, String> head;
+  private final MVMap<String, String> metadata;
   private final FileChannel seal;
   private final FileChannel lock;
-  private long count;
+  private long writeCount;
   private boolean failed;
 
   private VoterStore(FileChannel lock, MVStore store, FileChannel seal) {
@@ -57,35 +57,40 @@
     this.store = store;
     this.seal = seal;
     this.slots = store.openMap("slots");
-    this.head = store.openMap("head");
+    this.metadata = store.openMap("head");
   }
 
-  /** Makes the folder of a voter that never voted; one that is there already is left as it is. */
+  /**
+   * Creates the store of a voter that has never voted. An existing store is left as it is.
+   *
+   * @param owner {@code fleet/name#store id}
+   * @throws UnusableStore if there is a store already, or it cannot be written
+   */
   public static void create(Path folder, String owner) throws IOException, UnusableStore {
     Files.createDirectories(folder);
     if (exists(folder)) {
       throw new UnusableStore(folder + " has a voter's memory already");
     }
-    try (VoterStore f = new VoterStore(locked(folder), open(folder), sealOf(folder, true))) {
-      f.head.put(OWNER, owner);
-      f.head.put(COUNT, "0");
-      f.sync();
+    try (VoterStore voterStore =
+        new VoterStore(lockFolder(folder), openStore(folder), openSeal(folder, true))) {
+      voterStore.metadata.put(OWNER_KEY, owner);
+      voterStore.metadata.put(COUNT_KEY, "0");
+      voterStore.sync();
     } catch (MVStoreException e) {
       throw new UnusableStore(folder + " can't be written: " + e.getMessage());
     }
   }
 
-  /** Whether anything of a memory is there, fit or not. */
+  /** Whether the folder contains any file of a store, usable or not. */
   public static boolean exists(Path folder) {
-    return Files.exists(folder.resolve(STORE)) || Files.exists(folder.resolve(SEAL));
+    return Files.exists(folder.resolve(STORE_FILE)) || Files.exists(folder.resolve(SEAL_FILE));
   }
 
   /**
-   * Puts a memory that can't be voted on out of the way, for one that is made anew; nothing is
-   * deleted.
+   * Renames the files of an unusable store, so that a new one can be created. Nothing is deleted.
    */
   public static void setAside(Path folder) throws IOException {
-    for (String name : List.of(STORE, SEAL)) {
+    for (String name : List.of(STORE_FILE, SEAL_FILE)) {
       Path file = folder.resolve(name);
       for (int i = 1; Files.exists(file); i++) {
         Path aside = folder.resolve(name + ".unfit-" + i);
@@ -97,144 +102,154 @@
   }
 
   /**
-   * Opens what a voter has promised; {@code owner} is its fleet's and its name, behind which its
-   * folder's id may stand.
+   * Opens an existing store.
+   *
+   * @param owner {@code fleet/name}; the stored owner may have {@code #store id} after it
+   * @throws UnusableStore if the store is missing, damaged, in use or another owner's
    */
   public static VoterStore open(Path folder, String owner) throws UnusableStore {
-    if (!Files.exists(folder.resolve(STORE)) || !Files.exists(folder.resolve(SEAL))) {
+    if (!Files.exists(folder.resolve(STORE_FILE)) || !Files.exists(folder.resolve(SEAL_FILE))) {
       throw new UnusableStore(folder + " has no voter's memory: it is lost, or was never made");
     }
     FileChannel lock = null;
     MVStore store = null;
     try {
-      lock = locked(folder);
-      store = open(folder);
-      VoterStore f = new VoterStore(lock, store, sealOf(folder, false));
-      f.check(folder, owner);
-      return f;
+      lock = lockFolder(folder);
+      store = openStore(folder);
+      VoterStore voterStore = new VoterStore(lock, store, openSeal(folder, false));
+      voterStore.verify(folder, owner);
+      return voterStore;
     } catch (IOException | MVStoreException | IllegalArgumentException e) {
-      let(store, lock);
+      closeAfterFailure(store, lock);
       throw new UnusableStore(folder + " can't be read: " + e.getMessage());
     } catch (UnusableStore e) {
-      let(store, lock);
+      closeAfterFailure(store, lock);
       throw e;
     }
   }
 
-  private static void let(MVStore store, FileChannel lock) {
-    try (FileChannel l = lock) {
+  private static void closeAfterFailure(MVStore store, FileChannel lock) {
+    try (FileChannel ignored = lock) {
       if (store != null) {
         store.closeImmediately();
       }
     } catch (IOException e) {
-      // it is given up either way
+      // the store is not used either way
     }
   }
 
-  private static FileChannel locked(Path folder) throws IOException, UnusableStore {
-    FileChannel c =
-        FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+  private static FileChannel lockFolder(Path folder) throws IOException, UnusableStore {
+    FileChannel channel =
+        FileChannel.open(
+            folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
-      FileLock held = c.tryLock();
+      FileLock held = channel.tryLock();
       if (held != null) {
-        return c;
+        return channel;
       }
     } catch (OverlappingFileLockException e) {
-      // held elsewhere in this process
+      // another object of this process holds the lock
     }
-    c.close();
+    channel.close();
     throw new UnusableStore(folder + " is another process's");
   }
 
-  private static MVStore open(Path folder) {
-    // Nothing is written behind our back: a commit is ours to make and to sync.
+  private static MVStore openStore(Path folder) {
+    // Only sync() commits, so that nothing is written in the background.
     MVStore store =
         new MVStore.Builder()
-            .fileName(folder.resolve(STORE).toString())
+            .fileName(folder.resolve(STORE_FILE).toString())
             .autoCommitDisabled()
             .cacheSize(CACHE_MB)
             .open();
-    // Each commit is synced before the next is written, so that the space of the one before can be
-    // used again at once:
-    // else the file grew by 5 KiB a vote for 45 s, and by that much for ever.
+    // Each commit is synced before the next one is written, so the space of the previous commit can
+    // be reused at once. With the default retention of 45 s the file grew by 5 KiB per vote during
+    // that time and never shrank again.
     store.setRetentionTime(0);
     store.setVersionsToKeep(0);
     return store;
   }
 
-  private static FileChannel sealOf(Path folder, boolean create) throws IOException {
+  private static FileChannel openSeal(Path folder, boolean create) throws IOException {
     return create
         ? FileChannel.open(
-            folder.resolve(SEAL),
+            folder.resolve(SEAL_FILE),
             StandardOpenOption.CREATE_NEW,
             StandardOpenOption.READ,
             StandardOpenOption.WRITE)
-        : FileChannel.open(folder.resolve(SEAL), StandardOpenOption.READ, StandardOpenOption.WRITE);
+        : FileChannel.open(
+            folder.resolve(SEAL_FILE), StandardOpenOption.READ, StandardOpenOption.WRITE);
   }
 
-  private void check(Path folder, String owner) throws IOException, UnusableStore {
-    String of = head.get(OWNER);
-    if (of == null || !of.equals(owner) && !of.startsWith(owner + "#")) {
+  private void verify(Path folder, String owner) throws IOException, UnusableStore {
+    String storedOwner = metadata.get(OWNER_KEY);
+    if (storedOwner == null || !storedOwner.equals(owner) && !storedOwner.startsWith(owner + "#")) {
       throw new UnusableStore(
-          folder + " is the memory of " + (of == null ? "nobody" : of) + ", not of " + owner);
+          folder
+              + " is the memory of "
+              + (storedOwner == null ? "nobody" : storedOwner)
+              + ", not of "
+              + owner);
     }
-    count = Long.parseLong(head.get(COUNT));
-    ByteBuffer b = ByteBuffer.allocate(SEAL_BYTES);
-    int read = seal.read(b, 0);
-    if (read < SEAL_BYTES || b.getLong(Long.BYTES) != sum(b.getLong(0))) {
+    writeCount = Long.parseLong(metadata.get(COUNT_KEY));
+    ByteBuffer contents = ByteBuffer.allocate(SEAL_BYTES);
+    int bytesRead = seal.read(contents, 0);
+    if (bytesRead < SEAL_BYTES || contents.getLong(Long.BYTES) != checksum(contents.getLong(0))) {
       throw new UnusableStore(folder + " has a seal that is torn");
     }
-    if (count < b.getLong(0)) {
+    if (writeCount < contents.getLong(0)) {
       throw new UnusableStore(
           folder
               + " has lost what was promised: it ends at "
-              + count
+              + writeCount
               + ", its seal says "
-              + b.getLong(0));
+              + contents.getLong(0));
     }
-    slots(); // what can't be read is found now, not when it is asked for
+    // Decodes all slots, so that an unreadable one is reported now and not when it is needed.
+    slots();
   }
 
-  private static long sum(long of) {
+  private static long checksum(long number) {
     CRC32C crc = new CRC32C();
-    crc.update(ByteBuffer.allocate(Long.BYTES).putLong(of).flip());
+    crc.update(ByteBuffer.allocate(Long.BYTES).putLong(number).flip());
     return crc.getValue();
   }
 
-  /** Whose memory it is, with the folder's id. */
+  /** The stored owner, {@code fleet/name#store id}. */
   public String owner() {
-    return head.get(OWNER);
+    return metadata.get(OWNER_KEY);
   }
 
-  /** What was synced. */
+  /** All slots on disk, by register name. */
   public Map<String, Slot> slots() {
     Map<String, Slot> all = new TreeMap<>();
-    slots.forEach((register, text) -> all.put(register, read(text)));
+    slots.forEach((register, text) -> all.put(register, decode(text)));
     return all;
   }
 
   /**
-   * Writes what some steps have changed, in one sync; their answers may leave once this returns.
-   * Fails for good.
+   * Writes the changes of several results with one sync; their responses may be sent once this
+   * returns. After a failure all further writes fail.
    */
-  public void write(List<VoteResult> steps) throws IOException {
+  public void write(List<VoteResult> results) throws IOException {
     if (failed) {
       throw new IOException("an earlier write has failed");
     }
     try {
-      boolean changed = false;
-      for (VoteResult s : steps) {
-        if (s.slot() != null) {
-          slots.put(s.register(), text(s.slot()));
-          changed = true;
+      boolean hasChanges = false;
+      for (VoteResult result : results) {
+        if (result.slot() != null) {
+          slots.put(result.register(), encode(result.slot()));
+          hasChanges = true;
         }
       }
-      if (changed) {
-        head.put(COUNT, Long.toString(++count));
+      if (hasChanges) {
+        metadata.put(COUNT_KEY, Long.toString(++writeCount));
         sync();
       }
     } catch (IOException | MVStoreException e) {
-      failed = true; // what is on disk now is not known: this process votes no more
+      // The contents on disk are now unknown, so this process must not vote any more.
+      failed = true;
       throw new IOException("the voter's memory can't be written: " + e.getMessage(), e);
     }
   }
@@ -242,37 +257,39 @@
   private void sync() throws IOException {
     store.commit();
     store.sync();
-    seal.write(ByteBuffer.allocate(SEAL_BYTES).putLong(count).putLong(sum(count)).flip(), 0);
+    seal.write(
+        ByteBuffer.allocate(SEAL_BYTES).putLong(writeCount).putLong(checksum(writeCount)).flip(),
+        0);
     seal.force(false);
   }
 
-  private static String text(Slot s) {
-    return s.promised().round()
+  private static String encode(Slot slot) {
+    return slot.promised().round()
         + " "
-        + s.accepted().round()
+        + slot.accepted().round()
         + " "
-        + s.value().version()
+        + slot.value().version()
         + " "
-        + s.promised().proposer().length()
+        + slot.promised().proposer().length()
         + " "
-        + s.accepted().proposer().length()
+        + slot.accepted().proposer().length()
         + " "
-        + s.promised().proposer()
-        + s.accepted().proposer()
-        + s.value().text();
+        + slot.promised().proposer()
+        + slot.accepted().proposer()
+        + slot.value().text();
   }
 
-  private static Slot read(String text) {
+  private static Slot decode(String text) {
     String[] parts = text.split(" ", 6);
-    int first = Integer.parseInt(parts[3]);
-    int second = first + Integer.parseInt(parts[4]);
+    int promisedEnd = Integer.parseInt(parts[3]);
+    int acceptedEnd = promisedEnd + Integer.parseInt(parts[4]);
     return new Slot(
-        new Ballot(Long.parseLong(parts[0]), parts[5].substring(0, first)),
-        new Ballot(Long.parseLong(parts[1]), parts[5].substring(first, second)),
-        new RegisterValue(Long.parseLong(parts[2]), parts[5].substring(second)));
+        new Ballot(Long.parseLong(parts[0]), parts[5].substring(0, promisedEnd)),
+        new Ballot(Long.parseLong(parts[1]), parts[5].substring(promisedEnd, acceptedEnd)),
+        new RegisterValue(Long.parseLong(parts[2]), parts[5].substring(acceptedEnd)));
   }
 
-  /** Lets go of the folder; all that was promised is there already. */
+  /** Closes the files and releases the lock of the folder. All changes have been synced by then. */
   @Override
   public void close() throws IOException {
     store.closeImmediately();
--- a/src/main/java/umberrun/consensus/net/ConsensusCodec.java
+++ b/src/main/java/umberrun/consensus/net/ConsensusCodec.java
@@ -15,19 +15,32 @@
 import umberrun.consensus.VoterSet;
 
 /**
- * The bytes of the agreement's messages: an array of MessagePack, to which later versions add at
- * the end.
+ * Encodes consensus messages as MessagePack arrays, with fields by position. Later versions append
+ * fields at the end.
  */
 final class ConsensusCodec {
   /**
-   * A message on its way.
+   * A message with its addressing.
    *
-   * @param asker who in the asking process wants the answer; the process is named by {@code life}
-   * @param voter the key that is asked or answers; empty for a front end's own answer
+   * @param answer whether it is a response
+   * @param epoch of the voter set that the request is made under
+   * @param voter key of the voter that is asked or responds; empty when a front end speaks for
+   *     itself
+   * @param startId identifies the requesting process
+   * @param requester the part of that process that gets the response: the number of a {@link
+   *     RegisterManager.RegisterClient}, or a negative number
    */
   record Envelope(
-      boolean answer, long epoch, String voter, long life, int asker, ConsensusMessage message) {}
+      boolean answer,
+      long epoch,
+      String voter,
+      long startId,
+      int requester,
+      ConsensusMessage message) {}
 
+  /**
+   * The index of a class is its number on the wire: new kinds are appended, and none is ever moved.
+   */
   private static final List<Class<? extends ConsensusMessage>> KINDS =
       List.of(
           Read.class,
@@ -45,171 +58,192 @@
           RegisterNames.class,
           VoterQuery.class,
           VoterDescription.class);
-  private static final int FIELDS = 7;
-  private static final int MOST_NAMES = 4_096;
-  private static final int MOST_TEXT = 128;
-  private static final int MOST_SET = 2_048;
+
+  private static final int ENVELOPE_FIELDS = 7;
+  private static final int MAX_NAMES = 4_096;
+  private static final int MAX_TEXT_LENGTH = 128;
+  private static final int MAX_LONG_TEXT_LENGTH = 2_048;
 
   private ConsensusCodec() {}
 
-  static byte[] write(Envelope e) {
+  /** Encodes a message. */
+  static byte[] encode(Envelope envelope) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      ConsensusMessage m = e.message;
-      out.packArrayHeader(FIELDS)
-          .packBoolean(e.answer)
-          .packLong(e.epoch)
-          .packString(e.voter)
-          .packLong(e.life)
-          .packInt(e.asker)
-          .packInt(KINDS.indexOf(m.getClass()));
-      body(out, m);
+      ConsensusMessage message = envelope.message;
+      out.packArrayHeader(ENVELOPE_FIELDS)
+          .packBoolean(envelope.answer)
+          .packLong(envelope.epoch)
+          .packString(envelope.voter)
+          .packLong(envelope.startId)
+          .packInt(envelope.requester)
+          .packInt(KINDS.indexOf(message.getClass()));
+      encodeBody(out, message);
       return out.toByteArray();
-    } catch (IOException x) {
-      throw new IllegalStateException(x); // a buffer in memory
+    } catch (IOException e) {
+      throw new IllegalStateException(e); // cannot happen: the buffer is in memory
     }
   }
 
-  private static void body(MessagePacker out, ConsensusMessage m) throws IOException {
-    out.packArrayHeader(4).packLong(m.op());
-    if (m instanceof Read l) {
-      out.packString(l.register()).packNil().packNil();
-    } else if (m instanceof ReadResult l) {
-      held(out, l.accepted(), l.value());
-    } else if (m instanceof Prepare p) {
-      ballot(out.packString(p.register()), p.ballot()).packNil();
-    } else if (m instanceof Promised p) {
-      held(out, p.accepted(), p.value());
-    } else if (m instanceof Accept a) {
-      value(ballot(out.packString(a.register()), a.ballot()), a.value());
-    } else if (m instanceof Refused r) {
-      ballot(out, r.promised()).packNil().packNil();
-    } else if (m instanceof Install i) {
-      out.packString(i.voters().text()).packNil().packNil();
-    } else if (m instanceof Outdated o) {
-      out.packString(o.voters().text()).packNil().packNil();
-    } else if (m instanceof RegisterNames n) {
-      names(out, n.names()).packNil().packNil();
-    } else if (m instanceof VoterQuery a) {
-      names(out.packBoolean(a.make()).packString(a.asOf().text()), a.names());
-    } else if (m instanceof VoterDescription s) {
-      out.packString(s.key()).packString(s.known().text()).packString(s.fault());
+  private static void encodeBody(MessagePacker out, ConsensusMessage message) throws IOException {
+    out.packArrayHeader(4).packLong(message.op());
+    if (message instanceof Read read) {
+      out.packString(read.register()).packNil().packNil();
+    } else if (message instanceof ReadResult result) {
+      packAccepted(out, result.accepted(), result.value());
+    } else if (message instanceof Prepare prepare) {
+      packBallot(out.packString(prepare.register()), prepare.ballot()).packNil();
+    } else if (message instanceof Promised promised) {
+      packAccepted(out, promised.accepted(), promised.value());
+    } else if (message instanceof Accept accept) {
+      packValue(packBallot(out.packString(accept.register()), accept.ballot()), accept.value());
+    } else if (message instanceof Refused refused) {
+      packBallot(out, refused.promised()).packNil().packNil();
+    } else if (message instanceof Install install) {
+      out.packString(install.voters().text()).packNil().packNil();
+    } else if (message instanceof Outdated outdated) {
+      out.packString(outdated.voters().text()).packNil().packNil();
+    } else if (message instanceof RegisterNames response) {
+      packNames(out, response.names()).packNil().packNil();
+    } else if (message instanceof VoterQuery query) {
+      packNames(out.packBoolean(query.make()).packString(query.asOf().text()), query.names());
+    } else if (message instanceof VoterDescription description) {
+      out.packString(description.key())
+          .packString(description.known().text())
+          .packString(description.fault());
     } else {
       out.packNil().packNil().packNil();
     }
   }
 
-  private static MessagePacker names(MessagePacker out, List<String> names) throws IOException {
+  private static MessagePacker packNames(MessagePacker out, List<String> names) throws IOException {
     out.packArrayHeader(names.size());
-    for (String n : names) {
-      out.packString(n);
+    for (String name : names) {
+      out.packString(name);
     }
     return out;
   }
 
-  private static void held(MessagePacker out, Ballot b, RegisterValue v) throws IOException {
-    value(ballot(out, b), v).packNil();
+  private static void packAccepted(MessagePacker out, Ballot ballot, RegisterValue value)
+      throws IOException {
+    packValue(packBallot(out, ballot), value).packNil();
   }
 
-  private static MessagePacker ballot(MessagePacker out, Ballot b) throws IOException {
-    out.packArrayHeader(2).packLong(b.round()).packString(b.proposer());
+  private static MessagePacker packBallot(MessagePacker out, Ballot ballot) throws IOException {
+    out.packArrayHeader(2).packLong(ballot.round()).packString(ballot.proposer());
     return out;
   }
 
-  private static MessagePacker value(MessagePacker out, RegisterValue v) throws IOException {
-    out.packArrayHeader(2).packLong(v.version()).packString(v.text());
+  private static MessagePacker packValue(MessagePacker out, RegisterValue value)
+      throws IOException {
+    out.packArrayHeader(2).packLong(value.version()).packString(value.text());
     return out;
   }
 
-  /** Reads a message; fails with {@link IllegalArgumentException} where it can't be one. */
-  static Envelope read(byte[] bytes) {
+  /**
+   * Decodes a message.
+   *
+   * @throws IllegalArgumentException if the bytes are not a valid message
+   */
+  static Envelope decode(byte[] bytes) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes)) {
-      require(in.unpackArrayHeader() >= FIELDS);
+      require(in.unpackArrayHeader() >= ENVELOPE_FIELDS);
       boolean answer = in.unpackBoolean();
       long epoch = in.unpackLong();
-      String voter = text(in, MOST_TEXT);
-      long life = in.unpackLong();
-      int asker = in.unpackInt();
+      String voter = unpackText(in, MAX_TEXT_LENGTH);
+      long startId = in.unpackLong();
+      int requester = in.unpackInt();
       int kind = in.unpackInt();
       require(kind >= 0 && kind < KINDS.size() && epoch >= 0);
-      return new Envelope(answer, epoch, voter, life, asker, message(in, KINDS.get(kind)));
+      return new Envelope(
+          answer, epoch, voter, startId, requester, decodeBody(in, KINDS.get(kind)));
     } catch (IOException | MessagePackException e) {
       throw new IllegalArgumentException(e.toString(), e);
     }
   }
 
-  private static ConsensusMessage message(
+  private static ConsensusMessage decodeBody(
       MessageUnpacker in, Class<? extends ConsensusMessage> kind) throws IOException {
     require(in.unpackArrayHeader() == 4);
     long op = in.unpackLong();
     if (kind == Read.class) {
-      return new Read(op, register(in));
+      return new Read(op, unpackRegister(in));
     } else if (kind == ReadResult.class) {
-      return new ReadResult(op, ballot(in), value(in));
+      return new ReadResult(op, unpackBallot(in), unpackValue(in));
     } else if (kind == Prepare.class) {
-      return new Prepare(op, register(in), ballot(in));
+      return new Prepare(op, unpackRegister(in), unpackBallot(in));
     } else if (kind == Promised.class) {
-      return new Promised(op, ballot(in), value(in));
+      return new Promised(op, unpackBallot(in), unpackValue(in));
     } else if (kind == Accept.class) {
-      return new Accept(op, register(in), ballot(in), value(in));
+      return new Accept(op, unpackRegister(in), unpackBallot(in), unpackValue(in));
     } else if (kind == Accepted.class) {
       return new Accepted(op);
     } else if (kind == Refused.class) {
-      return new Refused(op, ballot(in));
+      return new Refused(op, unpackBallot(in));
     } else if (kind == Install.class) {
-      return new Install(op, VoterSet.parse(text(in, MOST_SET)));
+      return new Install(op, VoterSet.parse(unpackText(in, MAX_LONG_TEXT_LENGTH)));
     } else if (kind == Installed.class) {
       return new Installed(op);
     } else if (kind == Outdated.class) {
-      return new Outdated(op, VoterSet.parse(text(in, MOST_SET)));
+      return new Outdated(op, VoterSet.parse(unpackText(in, MAX_LONG_TEXT_LENGTH)));
     } else if (kind == UnknownEpoch.class) {
       return new UnknownEpoch(op);
     } else if (kind == ListRegisters.class) {
       return new ListRegisters(op);
     } else if (kind == RegisterNames.class) {
-      return new RegisterNames(op, names(in));
+      return new RegisterNames(op, unpackNames(in));
     } else if (kind == VoterQuery.class) {
-      return new VoterQuery(op, in.unpackBoolean(), VoterSet.parse(text(in, MOST_SET)), names(in));
+      return new VoterQuery(
+          op,
+          in.unpackBoolean(),
+          VoterSet.parse(unpackText(in, MAX_LONG_TEXT_LENGTH)),
+          unpackNames(in));
     }
     return new VoterDescription(
-        op, text(in, MOST_TEXT), VoterSet.parse(text(in, MOST_SET)), text(in, MOST_SET));
+        op,
+        unpackText(in, MAX_TEXT_LENGTH),
+        VoterSet.parse(unpackText(in, MAX_LONG_TEXT_LENGTH)),
+        unpackText(in, MAX_LONG_TEXT_LENGTH));
   }
 
-  /** Guards the memory of voters: a name is bounded, and none is the folder's own slot. */
-  private static String register(MessageUnpacker in) throws IOException {
-    String name = text(in, MOST_TEXT);
+  /**
+   * Bounds the memory that a name takes in voters, and rejects the empty name, which is the slot of
+   * the voter set.
+   */
+  private static String unpackRegister(MessageUnpacker in) throws IOException {
+    String name = unpackText(in, MAX_TEXT_LENGTH);
     require(!name.isEmpty());
     return name;
   }
 
-  private static List<String> names(MessageUnpacker in) throws IOException {
-    int n = in.unpackArrayHeader();
-    require(n <= MOST_NAMES);
+  private static List<String> unpackNames(MessageUnpacker in) throws IOException {
+    int count = in.unpackArrayHeader();
+    require(count <= MAX_NAMES);
     List<String> names = new ArrayList<>();
-    for (int i = 0; i < n; i++) {
-      names.add(text(in, MOST_TEXT));
+    for (int i = 0; i < count; i++) {
+      names.add(unpackText(in, MAX_TEXT_LENGTH));
     }
     return names;
   }
 
-  private static Ballot ballot(MessageUnpacker in) throws IOException {
+  private static Ballot unpackBallot(MessageUnpacker in) throws IOException {
     require(in.unpackArrayHeader() == 2);
-    return new Ballot(in.unpackLong(), text(in, MOST_TEXT));
+    return new Ballot(in.unpackLong(), unpackText(in, MAX_TEXT_LENGTH));
   }
 
-  private static RegisterValue value(MessageUnpacker in) throws IOException {
+  private static RegisterValue unpackValue(MessageUnpacker in) throws IOException {
     require(in.unpackArrayHeader() == 2);
-    return new RegisterValue(in.unpackLong(), text(in, RegisterValue.MAX_BYTES));
+    return new RegisterValue(in.unpackLong(), unpackText(in, RegisterValue.MAX_BYTES));
   }
 
-  private static String text(MessageUnpacker in, int most) throws IOException {
-    String s = in.unpackString();
-    require(s.length() <= most);
-    return s;
+  private static String unpackText(MessageUnpacker in, int maxLength) throws IOException {
+    String text = in.unpackString();
+    require(text.length() <= maxLength);
+    return text;
   }
 
-  private static void require(boolean holds) {
-    if (!holds) {
-      throw new IllegalArgumentException("figures that can't be");
+  private static void require(boolean condition) {
+    if (!condition) {
+      throw new IllegalArgumentException("a field is out of range");
     }
   }
 }
--- a/src/main/java/umberrun/consensus/net/LocalVoter.java
+++ b/src/main/java/umberrun/consensus/net/LocalVoter.java
@@ -17,202 +17,217 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * A voter on the one loop, its folder beside it: what is asked while a sync runs waits for the next
- * one, so that many answers share a sync. Whatever is wrong with the folder, this front end does
- * not vote, says why, and serves calls on.
+ * The voter of this front end. It runs on the event loop and its store on a worker thread. Requests
+ * that arrive during a sync wait for the next one, so that many responses share a sync. If the
+ * store is unusable, this front end does not vote, reports the reason, and goes on serving calls.
  */
 final class LocalVoter {
-  private record Waiting(VoteResult step, Consumer<ConsensusMessage> answer) {}
+  /** A response that waits for the sync of its change. */
+  private record PendingResponse(VoteResult result, Consumer<ConsensusMessage> responder) {}
 
-  /** Questions that wait for a sync; beyond that they are dropped, as by a poor link. */
-  private static final int MOST_WAITING = 1_024;
+  /** Requests that may wait for a sync; further ones are dropped, as on a lossy link. */
+  private static final int MAX_PENDING_REQUESTS = 1_024;
 
-  private static final int MOST_REGISTERS = 256;
+  private static final int MAX_REGISTERS = 256;
 
-  private final WorkerExecutor beside;
+  private final WorkerExecutor blockingExecutor;
   private final Path folder;
   private final String owner;
   private final Counters counters;
   private final Consumer<String> log;
-  private VoterStore disk;
-  private EpochVoter seat;
+  private VoterStore store;
+  private EpochVoter voter;
   private String key = "";
   private String fault = "its folder is not open yet";
-  private List<Waiting> waiting = new ArrayList<>();
-  private boolean syncs;
-  private Future<Void> making;
-  private boolean over;
+  private List<PendingResponse> pending = new ArrayList<>();
+  private boolean syncing;
+  private Future<Void> creation;
+  private boolean closed;
 
   /**
-   * Written beside the loop before it is read on it: something is in the folder, though it can't be
-   * voted on.
+   * Whether the folder contains a store, usable or not. Set on the worker thread before the event
+   * loop reads it.
    */
-  private volatile boolean damaged;
+  private volatile boolean storeExists;
 
   /**
-   * @param owner the fleet's name and this front end's, {@code fleet/name}
+   * @param folder of the store
+   * @param owner the names of the fleet and this front end, {@code fleet/name}
    */
   LocalVoter(Vertx vertx, Path folder, String owner, Counters counters, Consumer<String> log) {
-    this.beside = vertx.createSharedWorkerExecutor("voter", 1);
+    this.blockingExecutor = vertx.createSharedWorkerExecutor("voter", 1);
     this.folder = folder;
     this.owner = owner;
     this.counters = counters;
     this.log = log;
   }
 
-  /** Opens the folder; done, also where it can't be voted on. */
+  /** Opens the store. The future succeeds even if the store is unusable. */
   Future<Void> open() {
-    return beside
+    return blockingExecutor
         .executeBlocking(
             () -> {
-              damaged = VoterStore.exists(folder);
+              storeExists = VoterStore.exists(folder);
               return VoterStore.open(folder, owner);
             })
-        .map(this::begin)
-        .recover(e -> unfit(e.getMessage()));
+        .map(this::useStore)
+        .recover(e -> reportUnusable(e.getMessage()));
   }
 
-  private Void begin(VoterStore opened) {
-    if (over) {
+  private Void useStore(VoterStore opened) {
+    if (closed) {
       close(opened);
       return null;
     }
-    disk = opened;
+    store = opened;
     key = opened.owner().substring(owner.lastIndexOf('/') + 1);
-    seat = new EpochVoter(opened.slots(), MOST_REGISTERS);
+    voter = new EpochVoter(opened.slots(), MAX_REGISTERS);
     fault = "";
-    log.accept("leases: votes as " + key + ", epoch " + seat.voters().epoch());
+    log.accept("leases: votes as " + key + ", epoch " + voter.voters().epoch());
     return null;
   }
 
-  private Future<Void> unfit(String why) {
-    fault = why;
-    log.accept("leases: does not vote: " + why);
+  private Future<Void> reportUnusable(String reason) {
+    fault = reason;
+    log.accept("leases: does not vote: " + reason);
     return Future.succeededFuture();
   }
 
-  /** Makes a new folder, with what was there put aside; done once it is open. */
-  Future<Void> make(long id) {
-    if (making
-        != null) { // asked again meanwhile: a second folder would put the first aside, whose key
-      // was told
-      return making;
+  /**
+   * Creates a new store and sets an existing one aside. The future succeeds once it is open, or was
+   * found unusable.
+   *
+   * @param id of the new store, a part of the voter's key
+   */
+  Future<Void> createStore(long id) {
+    if (creation != null) {
+      // Asked again meanwhile: a second store would set the first one aside after its key was sent.
+      return creation;
     }
-    VoterStore held = disk;
-    disk = null;
-    seat = null;
-    making =
-        beside
+    VoterStore oldStore = store;
+    store = null;
+    voter = null;
+    creation =
+        blockingExecutor
             .executeBlocking(
                 () -> {
-                  close(held);
+                  close(oldStore);
                   VoterStore.setAside(folder);
                   VoterStore.create(folder, owner + "#" + Long.toHexString(id));
                   return null;
                 })
             .compose(v -> open())
-            .recover(e -> unfit(e.getMessage()))
-            .onComplete(v -> making = null);
-    return making;
+            .recover(e -> reportUnusable(e.getMessage()))
+            .onComplete(v -> creation = null);
+    return creation;
   }
 
+  /** The key of the voter, empty if it does not vote. */
   String key() {
-    return seat == null ? "" : key;
+    return voter == null ? "" : key;
   }
 
-  /** Why it does not vote, or empty. */
+  /** Why this front end does not vote, empty if it does. */
   String fault() {
     return fault;
   }
 
-  /** Whether it had a vote, and may have promised something that can't be read now. */
+  /** Whether there is a store that cannot be used, which may contain promises. */
   boolean isDamaged() {
-    return seat == null && damaged && making == null;
+    return voter == null && storeExists && creation == null;
   }
 
-  VoterSet taken() {
-    return seat == null ? VoterSet.UNKNOWN : seat.voters();
+  /** The installed voter set, {@link VoterSet#UNKNOWN} if there is none. */
+  VoterSet installedSet() {
+    return voter == null ? VoterSet.UNKNOWN : voter.voters();
   }
 
-  int registers() {
-    return seat == null ? 0 : seat.slots().size();
+  /** Number of registers that the voter has. */
+  int registerCount() {
+    return voter == null ? 0 : voter.slots().size();
   }
 
-  /** Whether it must keep its folder, and whether that was never told of a set. */
-  boolean holdsOn(VoterSet asOf) {
-    return seat != null && seat.mustKeepStore(key, asOf);
+  /** Whether the store must not be replaced, see {@link EpochVoter#mustKeepStore}. */
+  boolean mustKeepStore(VoterSet asOf) {
+    return voter != null && voter.mustKeepStore(key, asOf);
   }
 
   /**
-   * Asks the voter under a key; its answer comes once all that it rests on is on disk, or never.
+   * Handles a request to the voter of a key. The response is sent once all changes it depends on
+   * are on disk, or never.
    */
-  void ask(String asked, long epoch, ConsensusMessage m, Consumer<ConsensusMessage> answer) {
-    if (seat == null || !asked.equals(key) || waiting.size() >= MOST_WAITING) {
+  void handle(
+      String requestedKey,
+      long epoch,
+      ConsensusMessage request,
+      Consumer<ConsensusMessage> responder) {
+    if (voter == null || !requestedKey.equals(key) || pending.size() >= MAX_PENDING_REQUESTS) {
       return;
     }
-    VoteResult step = seat.handle(epoch, m);
-    if (step == null) {
+    VoteResult result = voter.handle(epoch, request);
+    if (result == null) {
       return;
     }
     counters.add(Count.VOTES);
-    if (step.slot() == null && waiting.isEmpty() && !syncs) {
-      answer.accept(step.answer());
+    if (result.slot() == null && pending.isEmpty() && !syncing) {
+      responder.accept(result.answer());
       return;
     }
-    waiting.add(new Waiting(step, answer));
+    pending.add(new PendingResponse(result, responder));
     sync();
   }
 
   private void sync() {
-    if (syncs || waiting.isEmpty()) {
+    if (syncing || pending.isEmpty()) {
       return;
     }
-    syncs = true;
-    List<Waiting> batch = waiting;
-    waiting = new ArrayList<>();
-    VoterStore at = disk;
-    List<VoteResult> steps = batch.stream().map(Waiting::step).toList();
-    beside
+    syncing = true;
+    List<PendingResponse> batch = pending;
+    pending = new ArrayList<>();
+    VoterStore target = store;
+    List<VoteResult> results = batch.stream().map(PendingResponse::result).toList();
+    blockingExecutor
         .executeBlocking(
             () -> {
-              at.write(steps);
+              target.write(results);
               return null;
             })
         .onComplete(
             v -> {
-              syncs = false;
+              syncing = false;
               counters.add(Count.VOTE_SYNCS);
-              batch.forEach(w -> w.answer.accept(w.step.answer()));
+              batch.forEach(entry -> entry.responder.accept(entry.result.answer()));
               sync();
             },
-            e -> { // guards what was promised: what is on disk now is not known
-              syncs = false;
-              if (at == disk) {
-                seat = null;
-                waiting.clear();
-                unfit(e.getMessage());
+            e -> {
+              // The contents on disk are now unknown, so this voter must not answer any more.
+              syncing = false;
+              if (target == store) {
+                voter = null;
+                pending.clear();
+                reportUnusable(e.getMessage());
               }
             });
   }
 
-  /** Lets go of the folder, so that a successor can have it; votes no more. */
+  /** Stops voting and closes the store, so that another process can open it. */
   Future<Void> close() {
-    over = true;
-    VoterStore held = disk;
-    seat = null;
-    disk = null;
-    waiting.clear();
-    return beside.executeBlocking(
+    closed = true;
+    VoterStore oldStore = store;
+    voter = null;
+    store = null;
+    pending.clear();
+    return blockingExecutor.executeBlocking(
         () -> {
-          close(held);
+          close(oldStore);
           return null;
         });
   }
 
-  private static void close(VoterStore held) {
+  private static void close(VoterStore openStore) {
     try {
-      if (held != null) {
-        held.close();
+      if (openStore != null) {
+        openStore.close();
       }
     } catch (IOException e) {
       throw new IllegalStateException(e);
--- a/src/main/java/umberrun/consensus/net/RegisterManager.java
+++ b/src/main/java/umberrun/consensus/net/RegisterManager.java
@@ -25,92 +25,111 @@
 import umberrun.stats.Counters;
 
 /**
- * The agreed registers in a front end: its voter where it is one, what asks for changes, and the
- * commands that found and replace voters. Carries the state machines of {@code umberrun.consensus}
- * on the one loop; what it sends goes by name.
+ * The consensus registers of a front end: its voter if it has one, its proposers, and the operator
+ * commands that create the first voter set and replace voters. Runs the state machines of {@code
+ * umberrun.consensus} on the event loop. Messages are addressed to front ends by name.
  */
 public final class RegisterManager {
-  /** How bytes get to a front end, or not. */
+  /** Carries messages to other front ends, without a guarantee of delivery. */
   public interface Transport {
+    /** Sends a message to a front end. */
     void send(String name, byte[] body);
 
-    /** Names of some that live, to ask who votes. */
+    /** Names of some living front ends, which are asked for the voter set. */
     List<String> livingMembers();
   }
 
-  private static final long TRY_MICROS = 300_000;
-  private static final long FIRST_ASK_MILLIS = 100;
-  private static final long LAST_ASK_MILLIS = 3_000;
-  private static final long COMMAND_MICROS = 15_000_000;
-  private static final long GO_ON_MILLIS = 10_000;
-  private static final long MS = 1_000;
-  private static final int MOST_WAITING = 256;
+  private static final long REQUEST_TIMEOUT_MICROS = 300_000;
+  private static final long INITIAL_QUERY_INTERVAL_MILLIS = 100;
+  private static final long MAX_QUERY_INTERVAL_MILLIS = 3_000;
+  private static final long COMMAND_TIMEOUT_MICROS = 15_000_000;
+  private static final long RESUME_CHECK_MILLIS = 10_000;
+  private static final long MICROS_PER_MILLI = 1_000;
+  private static final int MAX_QUEUED_OPERATIONS = 256;
 
-  /** Who asks, beside the ways. */
-  private static final int FINDER = -1;
+  /** Requester number of the search for the voter set; clients have numbers from 0. */
+  private static final int VOTER_QUERY_REQUESTER = -1;
 
-  private static final int COMMANDER = -2;
+  /** Requester number of operator commands. */
+  private static final int COMMAND_REQUESTER = -2;
 
-  /** A change (null: a read), what waits for it, and when it is given up. */
-  private record Asked(
-      String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {}
+  /**
+   * A queued change or read.
+   *
+   * @param change null for a read
+   * @param onResult receives the result, see {@link Proposer.Outbox#done}
+   */
+  private record Operation(
+      String register, Proposer.Change change, long deadline, Consumer<RegisterValue> onResult) {}
 
   /**
-   * One proposer and what waits for it: changes of one way are in order, those of several go on
-   * side by side.
+   * A proposer with a queue. Operations of one client run in order, those of several clients
+   * concurrently.
    */
   public final class RegisterClient implements Proposer.Outbox {
     private final int number;
     private final Proposer proposer;
-    private final Deque<Asked> queue = new ArrayDeque<>();
+    private final Deque<Operation> queue = new ArrayDeque<>();
     private long timer = -1;
 
     private RegisterClient(int number) {
       this.number = number;
       this.proposer =
           new Proposer(
-              name + "/" + Long.toHexString(life) + "/" + number,
-              known.keys(),
-              TRY_MICROS,
+              name + "/" + Long.toHexString(startId) + "/" + number,
+              knownVoters.keys(),
+              REQUEST_TIMEOUT_MICROS,
               random.split(),
               this);
     }
 
-    /** Reads a register; null where no majority answered until then. */
-    public void read(String register, long until, Consumer<RegisterValue> then) {
-      add(new Asked(register, null, until, then));
+    /**
+     * Reads a register.
+     *
+     * @param deadline when the read is given up
+     * @param onResult receives the value, or null if no majority responded in time
+     */
+    public void read(String register, long deadline, Consumer<RegisterValue> onResult) {
+      enqueue(new Operation(register, null, deadline, onResult));
     }
 
-    /** Changes a register; null where it is not known whether that was done. */
+    /**
+     * Changes a register.
+     *
+     * @param deadline when the change is given up
+     * @param onResult receives the value after the change, or null if it is unknown whether it was
+     *     made
+     */
     public void change(
-        String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {
-      add(new Asked(register, change, until, then));
+        String register, Proposer.Change change, long deadline, Consumer<RegisterValue> onResult) {
+      enqueue(new Operation(register, change, deadline, onResult));
     }
 
-    private void add(Asked a) {
-      if (queue.size() >= MOST_WAITING) { // guards the memory while no majority answers
-        vertx.runOnContext(v -> a.then.accept(null));
+    private void enqueue(Operation operation) {
+      // Bounds the memory in use while no majority responds.
+      if (queue.size() >= MAX_QUEUED_OPERATIONS) {
+        vertx.runOnContext(v -> operation.onResult.accept(null));
         return;
       }
-      queue.add(a);
+      queue.add(operation);
       if (queue.size() == 1) {
-        next();
+        startNext();
       }
     }
 
-    private void next() {
-      Asked a = queue.peek();
+    private void startNext() {
+      Operation operation = queue.peek();
       long now = clock.now();
-      if (a != null && a.change == null) {
-        proposer.read(now, a.register, a.until);
-      } else if (a != null) {
-        proposer.submit(now, a.register, a.change, a.until);
+      if (operation != null && operation.change == null) {
+        proposer.read(now, operation.register, operation.deadline);
+      } else if (operation != null) {
+        proposer.submit(now, operation.register, operation.change, operation.deadline);
       }
     }
 
     @Override
-    public void send(String voter, ConsensusMessage m) {
-      ask(voter, number, m);
+    public void send(String voter, ConsensusMessage message) {
+      sendToVoter(voter, number, message);
     }
 
     @Override
@@ -118,15 +137,16 @@
       vertx.cancelTimer(timer);
       timer =
           vertx.setTimer(
-              Math.max(1, (at - clock.now() + MS - 1) / MS), t -> proposer.onTimer(clock.now()));
+              Math.max(1, (at - clock.now() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI),
+              t -> proposer.onTimer(clock.now()));
     }
 
     @Override
-    public void done(RegisterValue v) {
+    public void done(RegisterValue value) {
       vertx.cancelTimer(timer);
-      Asked a = queue.poll();
-      next();
-      a.then.accept(v);
+      Operation operation = queue.poll();
+      startNext();
+      operation.onResult.accept(value);
     }
   }
 
@@ -135,28 +155,36 @@
   private final LeaseOptions options;
   private final String name;
   private final Consumer<String> log;
-  private final Transport post;
+  private final Transport transport;
   private final SplittableRandom random;
-  private final long life;
-  private final LocalVoter desk;
-  private final List<RegisterClient> ways = new ArrayList<>();
-  private VoterSet known = VoterSet.UNKNOWN;
-  private RegisterClient admin;
-  private long asksEvery = FIRST_ASK_MILLIS;
-  private boolean over;
-
-  /** What an operator has ordered, one thing at a time, and how it ended. */
-  private VoterBootstrap founding;
-
-  private VoterReplacement succession;
-  private String replacing;
-  private String replaces;
-  private long commandUntil;
+  private final long startId;
+  private final LocalVoter localVoter;
+  private final List<RegisterClient> clients = new ArrayList<>();
+  private VoterSet knownVoters = VoterSet.UNKNOWN;
+  private RegisterClient commandClient;
+  private long queryIntervalMillis = INITIAL_QUERY_INTERVAL_MILLIS;
+  private boolean closed;
+
+  /**
+   * The operator command in progress. Only one runs at a time; at most one of these three is set.
+   */
+  private VoterBootstrap bootstrap;
+
+  private VoterReplacement replacement;
+  private String newcomerName;
+  private String leaverName;
+  private long commandDeadline;
   private long commandTimer = -1;
+
+  /** Why the last command failed, null if it succeeded or is in progress. */
   private String lastFault;
 
   /**
+   * @param fleet name of the fleet
    * @param name of this front end
+   * @param startId identifies this process among all starts of the front end
+   * @param log receives log lines
+   * @param transport carries the messages
    */
   public RegisterManager(
       Vertx vertx,
@@ -164,19 +192,19 @@
       LeaseOptions options,
       String fleet,
       String name,
-      long life,
+      long startId,
       Counters counters,
       Consumer<String> log,
-      Transport post) {
+      Transport transport) {
     this.vertx = vertx;
     this.clock = clock;
     this.options = options;
     this.name = name;
-    this.life = life;
+    this.startId = startId;
     this.log = log;
-    this.post = post;
-    this.random = new SplittableRandom(life);
-    this.desk =
+    this.transport = transport;
+    this.random = new SplittableRandom(startId);
+    this.localVoter =
         options.stateDir().isEmpty()
             ? null
             : new LocalVoter(
@@ -185,235 +213,287 @@
                 fleet + "/" + name,
                 counters,
                 log);
-    this.admin = newClient();
+    this.commandClient = newClient();
   }
 
-  /** Opens the folder, where there is one, and begins to look for who votes. */
+  /** Opens the store of the voter, if one is configured, and starts to look for the voter set. */
   public Future<Void> open() {
-    Future<Void> opened = desk == null ? Future.succeededFuture() : desk.open();
+    Future<Void> opened = localVoter == null ? Future.succeededFuture() : localVoter.open();
     return opened.onComplete(
         v -> {
-          if (desk != null) {
-            adopt(desk.taken());
+          if (localVoter != null) {
+            adopt(localVoter.installedSet());
           }
-          look();
-          goOn();
+          queryVoters();
+          scheduleResumeCheck();
         });
   }
 
-  /** A further way. */
+  /** Creates another client. */
   public RegisterClient newClient() {
-    RegisterClient w = new RegisterClient(ways.size());
-    ways.add(w);
-    return w;
+    RegisterClient client = new RegisterClient(clients.size());
+    clients.add(client);
+    return client;
   }
 
-  /** Who votes, as far as this front end knows. */
+  /** The newest voter set that this front end knows. */
   public VoterSet voters() {
-    return known;
+    return knownVoters;
   }
 
-  /** Whether this front end has a say. */
+  /** Whether the voter of this front end is in that set. */
   public boolean isVoter() {
-    return desk != null && known.keys().contains(desk.key());
+    return localVoter != null && knownVoters.keys().contains(localVoter.key());
   }
 
-  /** Asks who votes until that is known, seldomer and seldomer. */
-  private void look() {
-    if (over || known.epoch() > 0) {
+  /** Asks for the voter set until it is known, at growing intervals. */
+  private void queryVoters() {
+    if (closed || knownVoters.epoch() > 0) {
       return;
     }
-    List<String> asked = new ArrayList<>(options.voters());
-    asked.addAll(post.livingMembers());
-    for (String other : asked) {
-      if (!other.equals(name)) {
+    List<String> recipients = new ArrayList<>(options.voters());
+    recipients.addAll(transport.livingMembers());
+    for (String recipient : recipients) {
+      if (!recipient.equals(name)) {
         send(
-            other,
+            recipient,
             new Envelope(
-                false, 0, "", life, FINDER, new VoterQuery(0, false, VoterSet.UNKNOWN, List.of())));
+                false,
+                0,
+                "",
+                startId,
+                VOTER_QUERY_REQUESTER,
+                new VoterQuery(0, false, VoterSet.UNKNOWN, List.of())));
       }
     }
-    vertx.setTimer(asksEvery / 2 + random.nextLong(asksEvery), t -> look());
-    asksEvery = Math.min(LAST_ASK_MILLIS, 2 * asksEvery);
+    vertx.setTimer(
+        queryIntervalMillis / 2 + random.nextLong(queryIntervalMillis), t -> queryVoters());
+    queryIntervalMillis = Math.min(MAX_QUERY_INTERVAL_MILLIS, 2 * queryIntervalMillis);
   }
 
-  /** A replacement whose command died is gone on with by whoever votes and sees it for a while. */
-  private void goOn() {
-    long seen = known.epoch();
+  /**
+   * Completes a replacement whose command died: a voter that sees no progress between two checks
+   * resumes it.
+   */
+  private void scheduleResumeCheck() {
+    long checkedEpoch = knownVoters.epoch();
     vertx.setTimer(
-        GO_ON_MILLIS / 2 + random.nextLong(GO_ON_MILLIS),
+        RESUME_CHECK_MILLIS / 2 + random.nextLong(RESUME_CHECK_MILLIS),
         t -> {
-          if (!over) {
-            if (!known.leaving().isEmpty() && known.epoch() == seen && isVoter() && !isBusy()) {
-              log.accept("leases: goes on with the replacement of " + known.leaving());
+          if (!closed) {
+            if (!knownVoters.leaving().isEmpty()
+                && knownVoters.epoch() == checkedEpoch
+                && isVoter()
+                && !isBusy()) {
+              log.accept("leases: goes on with the replacement of " + knownVoters.leaving());
               replaceVoter("", "");
             }
-            goOn();
+            scheduleResumeCheck();
           }
         });
   }
 
-  private void adopt(VoterSet v) {
-    if (v.epoch() > known.epoch()) {
-      known = v;
+  private void adopt(VoterSet voters) {
+    if (voters.epoch() > knownVoters.epoch()) {
+      knownVoters = voters;
       log.accept(
           "leases: voters are "
-              + v.keys()
+              + voters.keys()
               + ", epoch "
-              + v.epoch()
-              + (v.leaving().isEmpty() ? "" : ", leaving " + v.leaving()));
+              + voters.epoch()
+              + (voters.leaving().isEmpty() ? "" : ", leaving " + voters.leaving()));
       long now = clock.now();
-      ways.forEach(w -> w.proposer.setVoters(now, v.keys()));
+      clients.forEach(client -> client.proposer.setVoters(now, voters.keys()));
     }
   }
 
-  /** No more is asked or answered; done once the folder can be had by another process. */
+  /** Stops sending and responding. The future completes once another process can open the store. */
   public Future<Void> close() {
-    over = true;
-    return desk == null ? Future.succeededFuture() : desk.close();
+    closed = true;
+    return localVoter == null ? Future.succeededFuture() : localVoter.close();
   }
 
-  // ---------------------------------------------------------------- what goes out and comes in
+  // ---------------------------------------------------------------- sending and receiving
 
-  private void ask(String voter, int asker, ConsensusMessage m) {
-    send(VoterSet.nameOf(voter), new Envelope(false, known.epoch(), voter, life, asker, m));
+  private void sendToVoter(String voter, int requester, ConsensusMessage message) {
+    send(
+        VoterSet.nameOf(voter),
+        new Envelope(false, knownVoters.epoch(), voter, startId, requester, message));
   }
 
-  private void send(String to, Envelope e) {
-    if (!over) {
-      post.send(to, ConsensusCodec.write(e));
+  private void send(String to, Envelope envelope) {
+    if (!closed) {
+      transport.send(to, ConsensusCodec.encode(envelope));
     }
   }
 
   /**
-   * Takes in what a front end sent; fails with {@link IllegalArgumentException} where it can't be
-   * read.
+   * Handles a message of another front end.
+   *
+   * @throws IllegalArgumentException if it cannot be decoded
    */
   public void receive(String from, byte[] body) {
-    Envelope e = ConsensusCodec.read(body);
-    if (over) {
+    Envelope envelope = ConsensusCodec.decode(body);
+    if (closed) {
       return;
     }
-    if (e.answer()) {
-      if (e.life() == life) {
-        answered(from, e);
+    if (envelope.answer()) {
+      if (envelope.startId() == startId) {
+        handleResponse(from, envelope);
       }
-    } else if (e.message() instanceof VoterQuery a) {
-      seat(a, s -> send(from, new Envelope(true, 0, "", e.life(), e.asker(), s)));
-    } else if (desk != null) {
-      desk.ask(
-          e.voter(),
-          e.epoch(),
-          e.message(),
-          m -> {
-            if (e.message() instanceof Install) {
-              adopt(desk.taken());
+    } else if (envelope.message() instanceof VoterQuery query) {
+      describeVoter(
+          query,
+          description ->
+              send(
+                  from,
+                  new Envelope(
+                      true, 0, "", envelope.startId(), envelope.requester(), description)));
+    } else if (localVoter != null) {
+      localVoter.handle(
+          envelope.voter(),
+          envelope.epoch(),
+          envelope.message(),
+          message -> {
+            if (envelope.message() instanceof Install) {
+              adopt(localVoter.installedSet());
             }
-            send(from, new Envelope(true, e.epoch(), e.voter(), e.life(), e.asker(), m));
+            send(
+                from,
+                new Envelope(
+                    true,
+                    envelope.epoch(),
+                    envelope.voter(),
+                    envelope.startId(),
+                    envelope.requester(),
+                    message));
           });
     }
   }
 
-  private void answered(String from, Envelope e) {
+  private void handleResponse(String from, Envelope envelope) {
     long now = clock.now();
-    ConsensusMessage m = e.message();
-    if (m instanceof ConsensusMessage.Outdated o) {
-      adopt(o.voters());
-    } else if (m instanceof VoterDescription s) {
-      adopt(s.known());
-    } else if (m instanceof ConsensusMessage.UnknownEpoch && known.epoch() > 0) {
-      ask(e.voter(), e.asker(), new Install(-1, known));
+    ConsensusMessage message = envelope.message();
+    if (message instanceof ConsensusMessage.Outdated outdated) {
+      adopt(outdated.voters());
+    } else if (message instanceof VoterDescription description) {
+      adopt(description.known());
+    } else if (message instanceof ConsensusMessage.UnknownEpoch && knownVoters.epoch() > 0) {
+      sendToVoter(envelope.voter(), envelope.requester(), new Install(-1, knownVoters));
       return;
     }
-    if (e.asker() >= 0 && e.asker() < ways.size()) {
-      ways.get(e.asker()).proposer.receive(now, e.voter(), m);
-    } else if (e.asker() == COMMANDER && founding != null) {
-      founding.receive(now, from, m);
-    } else if (e.asker() == COMMANDER && succession != null) {
-      succession.receive(now, e.voter(), m);
-    } else if (e.asker() == COMMANDER && replacing != null && m instanceof VoterDescription s) {
-      seated(s);
+    if (envelope.requester() >= 0 && envelope.requester() < clients.size()) {
+      clients.get(envelope.requester()).proposer.receive(now, envelope.voter(), message);
+    } else if (envelope.requester() == COMMAND_REQUESTER && bootstrap != null) {
+      bootstrap.receive(now, from, message);
+    } else if (envelope.requester() == COMMAND_REQUESTER && replacement != null) {
+      replacement.receive(now, envelope.voter(), message);
+    } else if (envelope.requester() == COMMAND_REQUESTER
+        && newcomerName != null
+        && message instanceof VoterDescription description) {
+      onNewcomerDescription(description);
     }
   }
 
-  /** Answers for this front end's own place among the voters. */
-  private void seat(VoterQuery a, Consumer<VoterDescription> answer) {
-    if (desk == null) {
-      answer.accept(new VoterDescription(a.op(), "", known, "its file names no state_dir"));
+  /**
+   * Responds with the state of the local voter, and creates a new store first if asked and allowed
+   * to.
+   */
+  private void describeVoter(VoterQuery query, Consumer<VoterDescription> answer) {
+    if (localVoter == null) {
+      answer.accept(
+          new VoterDescription(query.op(), "", knownVoters, "its file names no state_dir"));
       return;
     }
-    boolean foreign =
-        !a.names().isEmpty() && !a.names().equals(options.voters().stream().sorted().toList());
-    boolean kept = !desk.key().isEmpty() && (desk.taken().epoch() == 0 || desk.holdsOn(a.asOf()));
-    boolean damaged = !a.names().isEmpty() && desk.isDamaged(); // in a founding: it may have voted
-    if (!a.make() || foreign || kept || damaged) {
+    boolean namesDiffer =
+        !query.names().isEmpty()
+            && !query.names().equals(options.voters().stream().sorted().toList());
+    boolean keepsStore =
+        !localVoter.key().isEmpty()
+            && (localVoter.installedSet().epoch() == 0 || localVoter.mustKeepStore(query.asOf()));
+    // A bootstrap must not replace a damaged store, as its voter may have voted before.
+    boolean damaged = !query.names().isEmpty() && localVoter.isDamaged();
+    if (!query.make() || namesDiffer || keepsStore || damaged) {
       answer.accept(
           new VoterDescription(
-              a.op(),
-              desk.key(),
-              known,
-              foreign
+              query.op(),
+              localVoter.key(),
+              knownVoters,
+              namesDiffer
                   ? "its file names other voters"
                   : damaged
-                      ? desk.fault()
-                      : a.make() && desk.holdsOn(a.asOf())
-                          ? "votes already as " + desk.key()
+                      ? localVoter.fault()
+                      : query.make() && localVoter.mustKeepStore(query.asOf())
+                          ? "votes already as " + localVoter.key()
                           : ""));
       return;
     }
-    log.accept("leases: a new folder is made for the voter " + name);
-    desk.make(random.nextLong() >>> 1)
+    log.accept("leases: creates a new store for the voter " + name);
+    localVoter
+        .createStore(random.nextLong() >>> 1)
         .onComplete(
-            v -> answer.accept(new VoterDescription(a.op(), desk.key(), known, desk.fault())));
+            v ->
+                answer.accept(
+                    new VoterDescription(
+                        query.op(), localVoter.key(), knownVoters, localVoter.fault())));
   }
 
-  // ---------------------------------------------------------------- what operators order
+  // ---------------------------------------------------------------- operator commands
 
   private boolean isBusy() {
-    return founding != null || succession != null || replacing != null;
+    return bootstrap != null || replacement != null || newcomerName != null;
   }
 
-  private void begin() {
+  private void beginCommand() {
     if (isBusy()) {
       throw new IllegalStateException("another command is under way here");
     }
     lastFault = null;
-    commandUntil = clock.now() + COMMAND_MICROS;
+    commandDeadline = clock.now() + COMMAND_TIMEOUT_MICROS;
   }
 
-  private void wake(long at, Runnable what) {
+  private void startCommandTimer(long at, Runnable action) {
     vertx.cancelTimer(commandTimer);
-    commandTimer = vertx.setTimer(Math.max(1, (at - clock.now() + MS - 1) / MS), t -> what.run());
+    commandTimer =
+        vertx.setTimer(
+            Math.max(1, (at - clock.now() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI),
+            t -> action.run());
   }
 
-  private void ended(String fault) {
+  private void endCommand(String fault) {
     vertx.cancelTimer(commandTimer);
-    founding = null;
-    succession = null;
-    replacing = null;
+    bootstrap = null;
+    replacement = null;
+    newcomerName = null;
     lastFault = fault;
     log.accept(
-        "leases: " + (fault == null ? "the voters are as was wanted" : "not done: " + fault));
+        "leases: "
+            + (fault == null ? "the change of the voters is complete" : "not done: " + fault));
   }
 
-  /** Founds the first set, of those that the operator's file names. */
+  /**
+   * Starts the command that creates the first voter set, of the configured front ends.
+   *
+   * @throws IllegalStateException if another command is in progress
+   */
   public void bootstrapVoters() {
-    begin();
-    founding =
+    beginCommand();
+    bootstrap =
         new VoterBootstrap(
             options.voters(),
-            commandUntil,
+            commandDeadline,
             new VoterBootstrap.Outbox() {
               @Override
-              public void send(String to, ConsensusMessage m) {
-                String key = m instanceof Install ? founding.keyOf(to) : "";
-                RegisterManager.this.send(to, new Envelope(false, 0, key, life, COMMANDER, m));
+              public void send(String to, ConsensusMessage message) {
+                String key = message instanceof Install ? bootstrap.keyOf(to) : "";
+                RegisterManager.this.send(
+                    to, new Envelope(false, 0, key, startId, COMMAND_REQUESTER, message));
               }
 
               @Override
               public void startTimer(long at) {
-                VoterBootstrap self = founding;
-                RegisterManager.this.wake(at, () -> self.onTimer(clock.now()));
+                VoterBootstrap started = bootstrap;
+                RegisterManager.this.startCommandTimer(at, () -> started.onTimer(clock.now()));
               }
 
               @Override
@@ -421,122 +501,138 @@
                 if (founded != null) {
                   adopt(founded);
                 }
-                ended(fault);
+                endCommand(fault);
               }
             });
-    founding.start(clock.now());
+    bootstrap.start(clock.now());
   }
 
   /**
-   * Has a front end vote in the place of another, or in its own with a new folder; empty names go
-   * on with what was begun.
+   * Starts the command that replaces a voter by another front end, or by itself with a new store.
+   * Empty names only complete a replacement that was begun.
+   *
+   * @throws IllegalStateException if another command is in progress, or the voter set does not
+   *     allow it
    */
-  public void replaceVoter(String leaves, String comes) {
-    begin();
-    if (known.epoch() == 0) {
+  public void replaceVoter(String leaver, String newcomer) {
+    beginCommand();
+    if (knownVoters.epoch() == 0) {
       throw new IllegalStateException("it is not known yet who votes");
     }
-    if (comes.isEmpty()) {
-      succeed("", "");
+    if (newcomer.isEmpty()) {
+      startReplacement("", "");
       return;
     }
-    if (known.keyOf(leaves) == null) {
-      throw new IllegalStateException(leaves + " does not vote");
+    if (knownVoters.keyOf(leaver) == null) {
+      throw new IllegalStateException(leaver + " does not vote");
     }
-    if (known.keyOf(comes) != null && !comes.equals(leaves)) {
-      throw new IllegalStateException(comes + " votes already");
+    if (knownVoters.keyOf(newcomer) != null && !newcomer.equals(leaver)) {
+      throw new IllegalStateException(newcomer + " votes already");
     }
-    replacing = comes;
-    replaces = leaves;
-    askNewcomer();
+    newcomerName = newcomer;
+    leaverName = leaver;
+    queryNewcomer();
   }
 
-  private void askNewcomer() {
-    if (clock.now() >= commandUntil) {
-      ended(replacing + " does not answer");
+  private void queryNewcomer() {
+    if (clock.now() >= commandDeadline) {
+      endCommand(newcomerName + " does not answer");
       return;
     }
     send(
-        replacing,
+        newcomerName,
         new Envelope(
-            false, 0, "", life, COMMANDER, new VoterQuery(commandUntil, true, known, List.of())));
-    wake(clock.now() + TRY_MICROS, this::askNewcomer);
+            false,
+            0,
+            "",
+            startId,
+            COMMAND_REQUESTER,
+            new VoterQuery(commandDeadline, true, knownVoters, List.of())));
+    startCommandTimer(clock.now() + REQUEST_TIMEOUT_MICROS, this::queryNewcomer);
   }
 
-  private void seated(VoterDescription s) {
-    if (s.op() != commandUntil) {
-      return; // to an earlier command
+  private void onNewcomerDescription(VoterDescription description) {
+    if (description.op() != commandDeadline) {
+      return; // response to an earlier command
     }
-    String leaving = known.keyOf(replaces);
-    if (s.key().isEmpty() || !s.fault().isEmpty() || leaving == null || leaving.equals(s.key())) {
-      ended(replacing + ": " + (s.fault().isEmpty() ? "has no folder" : s.fault()));
+    String leaving = knownVoters.keyOf(leaverName);
+    if (description.key().isEmpty()
+        || !description.fault().isEmpty()
+        || leaving == null
+        || leaving.equals(description.key())) {
+      endCommand(
+          newcomerName
+              + ": "
+              + (description.fault().isEmpty() ? "has no folder" : description.fault()));
       return;
     }
-    replacing = null;
-    succeed(s.key(), leaving);
+    newcomerName = null;
+    startReplacement(description.key(), leaving);
   }
 
-  private void succeed(String comes, String leaves) {
-    VoterReplacement[] self = new VoterReplacement[1];
-    self[0] =
+  private void startReplacement(String newcomer, String leaver) {
+    VoterReplacement[] started = new VoterReplacement[1];
+    started[0] =
         new VoterReplacement(
-            known,
-            comes,
-            leaves,
-            commandUntil,
+            knownVoters,
+            newcomer,
+            leaver,
+            commandDeadline,
             new VoterReplacement.Outbox() {
               @Override
-              public void send(String voter, ConsensusMessage m) {
-                ask(voter, COMMANDER, m);
+              public void send(String voter, ConsensusMessage message) {
+                sendToVoter(voter, COMMAND_REQUESTER, message);
               }
 
               @Override
-              public void propose(String register, Proposer.Change change, long until) {
-                admin.change(
+              public void propose(String register, Proposer.Change change, long deadline) {
+                commandClient.change(
                     register,
                     change,
-                    until,
-                    v -> {
-                      if (succession == self[0]) {
-                        self[0].onRegisterResult(clock.now(), v);
+                    deadline,
+                    value -> {
+                      if (replacement == started[0]) {
+                        started[0].onRegisterResult(clock.now(), value);
                       }
                     });
               }
 
               @Override
-              public void adopt(VoterSet v) {
-                RegisterManager.this.adopt(v);
+              public void adopt(VoterSet voters) {
+                RegisterManager.this.adopt(voters);
               }
 
               @Override
               public void startTimer(long at) {
-                RegisterManager.this.wake(at, () -> self[0].onTimer(clock.now()));
+                RegisterManager.this.startCommandTimer(at, () -> started[0].onTimer(clock.now()));
               }
 
               @Override
               public void completed(String fault) {
-                ended(fault);
+                endCommand(fault);
               }
             });
-    succession = self[0];
-    succession.start(clock.now());
+    replacement = started[0];
+    replacement.start(clock.now());
   }
 
-  /** Who votes, this front end's own part, and how the last command ended. */
+  /**
+   * The voter set, the state of the local voter and the result of the last command, for operators.
+   */
   public JsonObject status() {
-    JsonObject o = new JsonObject();
-    o.addProperty("epoch", known.epoch());
+    JsonObject json = new JsonObject();
+    json.addProperty("epoch", knownVoters.epoch());
     JsonArray keys = new JsonArray();
-    known.keys().forEach(keys::add);
-    o.add("voters", keys);
-    o.addProperty("leaving", known.leaving());
-    o.addProperty("key", desk == null ? "" : desk.key());
-    o.addProperty("why_not", desk == null ? "" : desk.fault());
-    o.addProperty("registers", desk == null ? 0 : desk.registers());
-    o.addProperty("busy", isBusy());
+    knownVoters.keys().forEach(keys::add);
+    json.add("voters", keys);
+    json.addProperty("leaving", knownVoters.leaving());
+    json.addProperty("key", localVoter == null ? "" : localVoter.key());
+    json.addProperty("why_not", localVoter == null ? "" : localVoter.fault());
+    json.addProperty("registers", localVoter == null ? 0 : localVoter.registerCount());
+    json.addProperty("busy", isBusy());
     if (lastFault != null) {
-      o.addProperty("not_done", lastFault);
+      json.addProperty("not_done", lastFault);
     }
-    return o;
+    return json;
   }
 }
--- a/src/main/java/umberrun/consensus/sim/RegisterModel.java
+++ b/src/main/java/umberrun/consensus/sim/RegisterModel.java
@@ -12,69 +12,72 @@
 import umberrun.sim.ModelChecker;
 
 /**
- * Three voters and proposers that each append their mark to one register, with all orders and
- * losses of messages, tries again and crashes of voters: what was done for one must be seen by all
- * that is done after.
+ * Model of three voters and several proposers that each append a mark to one register, with all
+ * orders and losses of messages, retries and crashes of voters. It checks that the result of a
+ * completed change is seen by all changes that start later.
  */
 public final class RegisterModel implements ModelChecker.Model {
   private static final String REGISTER = "r";
   private static final List<String> VOTERS = List.of("v0", "v1", "v2");
 
-  private record Sent(int proposer, int voter, boolean toVoter, ConsensusMessage message) {}
+  private record InFlightMessage(
+      int proposer, int voter, boolean toVoter, ConsensusMessage message) {}
 
-  private final int proposers;
-  private final boolean syncs;
+  private final int proposerCount;
+  private final boolean syncsBeforeResponse;
   private final Voter[] voters = new Voter[VOTERS.size()];
 
-  /** What a crash leaves of each. */
+  /** The slots of each voter that survive a crash. */
   private final List<Map<String, Voter.Slot>> synced = new ArrayList<>();
 
-  private final Proposer[] machines;
-  private final List<Sent> flying = new ArrayList<>();
-  private final boolean[] begun;
-  private final String[] done;
+  private final Proposer[] proposers;
+  private final List<InFlightMessage> inFlight = new ArrayList<>();
+  private final boolean[] started;
 
-  /** By proposer, what was done before it began. */
-  private final List<List<String>> before = new ArrayList<>();
+  /** By proposer, the text of the register when its change was complete, or null. */
+  private final String[] results;
 
-  private int triesLeft;
+  /** By proposer, the results that were complete before it started. */
+  private final List<List<String>> resultsBeforeStart = new ArrayList<>();
+
+  private int retriesLeft;
   private int crashesLeft;
 
   /**
-   * @param tries further tries in all, beside the first of each
-   * @param crashes of voters, in all
-   * @param syncs whether voters sync before they answer
+   * @param retries total number of retries, in addition to the first attempt of each proposer
+   * @param crashes total number of crashes of voters
+   * @param syncsBeforeResponse whether voters sync their slots before they respond
    */
-  public RegisterModel(int proposers, int tries, int crashes, boolean syncs) {
-    this.proposers = proposers;
-    this.triesLeft = tries;
+  public RegisterModel(int proposerCount, int retries, int crashes, boolean syncsBeforeResponse) {
+    this.proposerCount = proposerCount;
+    this.retriesLeft = retries;
     this.crashesLeft = crashes;
-    this.syncs = syncs;
-    this.machines = new Proposer[proposers];
-    this.begun = new boolean[proposers];
-    this.done = new String[proposers];
+    this.syncsBeforeResponse = syncsBeforeResponse;
+    this.proposers = new Proposer[proposerCount];
+    this.started = new boolean[proposerCount];
+    this.results = new String[proposerCount];
     for (int v = 0; v < voters.length; v++) {
       voters[v] = new Voter(Map.of(), 1);
       synced.add(Map.of());
     }
-    for (int p = 0; p < proposers; p++) {
-      before.add(null);
-      machines[p] = proposer(p);
+    for (int p = 0; p < proposerCount; p++) {
+      resultsBeforeStart.add(null);
+      proposers[p] = newProposer(p);
     }
   }
 
-  private RegisterModel(RegisterModel o) {
-    this(o.proposers, o.triesLeft, o.crashesLeft, o.syncs);
-    flying.addAll(o.flying);
+  private RegisterModel(RegisterModel other) {
+    this(other.proposerCount, other.retriesLeft, other.crashesLeft, other.syncsBeforeResponse);
+    inFlight.addAll(other.inFlight);
     for (int v = 0; v < voters.length; v++) {
-      voters[v] = new Voter(o.voters[v].slots(), 1);
-      synced.set(v, o.synced.get(v));
+      voters[v] = new Voter(other.voters[v].slots(), 1);
+      synced.set(v, other.synced.get(v));
     }
-    for (int p = 0; p < proposers; p++) {
-      machines[p].copyStateFrom(o.machines[p], c -> c);
-      begun[p] = o.begun[p];
-      done[p] = o.done[p];
-      before.set(p, o.before.get(p));
+    for (int p = 0; p < proposerCount; p++) {
+      proposers[p].copyStateFrom(other.proposers[p], change -> change);
+      started[p] = other.started[p];
+      results[p] = other.results[p];
+      resultsBeforeStart.set(p, other.resultsBeforeStart.get(p));
     }
   }
 
@@ -83,115 +86,123 @@
     return new RegisterModel(this);
   }
 
-  private Proposer proposer(int self) {
+  private Proposer newProposer(int proposerIndex) {
     return new Proposer(
-        "p" + self,
+        "p" + proposerIndex,
         VOTERS,
         1,
         () -> 0L,
         new Proposer.Outbox() {
           @Override
-          public void send(String voter, ConsensusMessage m) {
-            flying.add(new Sent(self, VOTERS.indexOf(voter), true, m));
+          public void send(String voter, ConsensusMessage message) {
+            inFlight.add(new InFlightMessage(proposerIndex, VOTERS.indexOf(voter), true, message));
           }
 
           @Override
           public void retry(long at) {
-            // time does not pass here: a further try is a step of its own
+            // the model has no clock: a retry is a step of its own
           }
 
           @Override
-          public void done(RegisterValue v) {
-            done[self] = v.text();
+          public void done(RegisterValue value) {
+            results[proposerIndex] = value.text();
           }
         });
   }
 
-  /** Each message, each beginning, each further try, each crash. */
+  /**
+   * The choices are the delivery of each message, then the start of each proposer, its retry, and
+   * the crash of each voter.
+   */
   @Override
   public int choiceCount() {
-    return flying.size() + 2 * proposers + voters.length;
+    return inFlight.size() + 2 * proposerCount + voters.length;
   }
 
   @Override
   public boolean takeStep(int choice) {
-    boolean taken = step(choice);
-    // Answers to tries that are over do nothing: without them there are fewer states.
-    flying.removeIf(s -> !s.toVoter && !machines[s.proposer].awaits(s.message));
+    boolean taken = applyChoice(choice);
+    // Responses to earlier attempts have no effect; removing them reduces the number of states.
+    inFlight.removeIf(sent -> !sent.toVoter && !proposers[sent.proposer].awaits(sent.message));
     return taken;
   }
 
-  private boolean step(int choice) {
-    int c = choice;
-    if (c < flying.size()) {
-      arrive(flying.remove(c));
+  private boolean applyChoice(int choice) {
+    int index = choice;
+    if (index < inFlight.size()) {
+      deliver(inFlight.remove(index));
       return true;
     }
-    c -= flying.size();
-    if (c < proposers) {
-      if (begun[c] || c > 0 && !begun[c - 1]) { // in order, as they are alike
+    index -= inFlight.size();
+    if (index < proposerCount) {
+      // Proposers are alike, so it is enough to start them in order.
+      if (started[index] || index > 0 && !started[index - 1]) {
         return false;
       }
-      begun[c] = true;
-      List<String> sofar = new ArrayList<>();
-      for (String d : done) {
-        if (d != null) {
-          sofar.add(d);
+      started[index] = true;
+      List<String> earlierResults = new ArrayList<>();
+      for (String earlier : results) {
+        if (earlier != null) {
+          earlierResults.add(earlier);
         }
       }
-      before.set(c, sofar);
-      String mark = Character.toString('a' + c);
-      machines[c].submit(
-          0, REGISTER, v -> v.text().contains(mark) ? v : v.withText(v.text() + mark), 1);
+      resultsBeforeStart.set(index, earlierResults);
+      String mark = Character.toString('a' + index);
+      proposers[index].submit(
+          0,
+          REGISTER,
+          value -> value.text().contains(mark) ? value : value.withText(value.text() + mark),
+          1);
       return true;
     }
-    c -= proposers;
-    if (c < proposers) {
-      if (!machines[c].isBusy() || triesLeft == 0) {
+    index -= proposerCount;
+    if (index < proposerCount) {
+      if (!proposers[index].isBusy() || retriesLeft == 0) {
         return false;
       }
-      triesLeft--;
-      machines[c].onTimer(0);
+      retriesLeft--;
+      proposers[index].onTimer(0);
       return true;
     }
-    c -= proposers;
+    index -= proposerCount;
     if (crashesLeft == 0) {
       return false;
     }
     crashesLeft--;
-    voters[c] = new Voter(synced.get(c), 1);
+    voters[index] = new Voter(synced.get(index), 1);
     return true;
   }
 
-  private void arrive(Sent s) {
-    if (!s.toVoter) {
-      machines[s.proposer].receive(0, VOTERS.get(s.voter), s.message);
+  private void deliver(InFlightMessage sent) {
+    if (!sent.toVoter) {
+      proposers[sent.proposer].receive(0, VOTERS.get(sent.voter), sent.message);
       return;
     }
-    Map<String, Voter.Slot> was = new TreeMap<>(voters[s.voter].slots());
-    Voter.VoteResult step = voters[s.voter].handle(s.message);
-    // One that syncs first has its answer leave only then; one that does not may lose what it has
-    // just answered.
-    synced.set(s.voter, syncs ? new TreeMap<>(voters[s.voter].slots()) : was);
-    if (step != null) {
-      flying.add(new Sent(s.proposer, s.voter, false, step.answer()));
+    Map<String, Voter.Slot> slotsBefore = new TreeMap<>(voters[sent.voter].slots());
+    Voter.VoteResult result = voters[sent.voter].handle(sent.message);
+    // A voter that syncs first responds only afterwards. One that does not may lose its last change
+    // in a crash, although it has responded.
+    synced.set(
+        sent.voter, syncsBeforeResponse ? new TreeMap<>(voters[sent.voter].slots()) : slotsBefore);
+    if (result != null) {
+      inFlight.add(new InFlightMessage(sent.proposer, sent.voter, false, result.answer()));
     }
   }
 
   @Override
   public String violation() {
-    for (int a = 0; a < proposers; a++) {
-      for (int b = 0; b < proposers; b++) {
-        if (done[a] != null
-            && done[b] != null
-            && !done[a].startsWith(done[b])
-            && !done[b].startsWith(done[a])) {
-          return "done '" + done[a] + "' and '" + done[b] + "'";
+    for (int a = 0; a < proposerCount; a++) {
+      for (int b = 0; b < proposerCount; b++) {
+        if (results[a] != null
+            && results[b] != null
+            && !results[a].startsWith(results[b])
+            && !results[b].startsWith(results[a])) {
+          return "completed with '" + results[a] + "' and '" + results[b] + "'";
         }
       }
-      for (String d : done[a] == null ? List.<String>of() : before.get(a)) {
-        if (!done[a].startsWith(d)) {
-          return "'" + d + "' was done before '" + done[a] + "' began";
+      for (String earlier : results[a] == null ? List.<String>of() : resultsBeforeStart.get(a)) {
+        if (!results[a].startsWith(earlier)) {
+          return "'" + earlier + "' was complete before '" + results[a] + "' was started";
         }
       }
     }
@@ -200,9 +211,9 @@
 
   @Override
   public String stateText() {
-    StringBuilder s = new StringBuilder().append(triesLeft).append(crashesLeft);
-    for (int p = 0; p < proposers; p++) {
-      s.append(machines[p].stateText()).append(done[p]).append(before.get(p));
+    StringBuilder text = new StringBuilder().append(retriesLeft).append(crashesLeft);
+    for (int p = 0; p < proposerCount; p++) {
+      text.append(proposers[p].stateText()).append(results[p]).append(resultsBeforeStart.get(p));
     }
     String[] byVoter = new String[voters.length];
     for (int v = 0; v < voters.length; v++) {
@@ -210,43 +221,43 @@
       StringBuilder own =
           new StringBuilder()
               .append(voters[v].slots())
-              .append(syncs ? "" : synced.get(v).toString());
-      for (Proposer m : machines) {
-        own.append(m.hasVoteOf(VOTERS.get(v)));
+              .append(syncsBeforeResponse ? "" : synced.get(v).toString());
+      for (Proposer proposer : proposers) {
+        own.append(proposer.hasVoteOf(VOTERS.get(v)));
       }
-      flying.stream()
-          .filter(f -> f.voter == voter)
+      inFlight.stream()
+          .filter(sent -> sent.voter == voter)
           .map(
-              f ->
-                  f.proposer
-                      + (machines[f.proposer].isForCurrentPhase(f.message) ? "+" : "-")
-                      + text(f.message))
+              sent ->
+                  sent.proposer
+                      + (proposers[sent.proposer].isForCurrentPhase(sent.message) ? "+" : "-")
+                      + text(sent.message))
           .sorted()
           .forEach(own::append);
       byVoter[v] = own.toString();
     }
-    Arrays.sort(byVoter); // voters are alike: which of them it is makes no difference
-    return s.append(String.join("|", byVoter)).toString();
+    Arrays.sort(byVoter); // voters are alike, so states that differ in their order only are equal
+    return text.append(String.join("|", byVoter)).toString();
   }
 
   /**
-   * A message in few letters, but for its number, of which only matters whether it is of the try
-   * that is on. (A record's own text takes as long as all else of a state.)
+   * A short text of a message without its attempt number, as it only matters whether it belongs to
+   * the current attempt. (Building the text of a record would take as long as the rest of a state.)
    */
-  public static String text(ConsensusMessage m) {
-    if (m instanceof ConsensusMessage.Read) {
+  public static String text(ConsensusMessage message) {
+    if (message instanceof ConsensusMessage.Read) {
       return "L";
-    } else if (m instanceof ConsensusMessage.ReadResult l) {
-      return "l" + l.accepted() + " " + l.value();
-    } else if (m instanceof ConsensusMessage.Prepare p) {
-      return "P" + p.ballot();
-    } else if (m instanceof ConsensusMessage.Promised p) {
-      return "p" + p.accepted() + " " + p.value();
-    } else if (m instanceof ConsensusMessage.Accept a) {
-      return "A" + a.ballot() + " " + a.value();
-    } else if (m instanceof ConsensusMessage.Accepted) {
+    } else if (message instanceof ConsensusMessage.ReadResult result) {
+      return "l" + result.accepted() + " " + result.value();
+    } else if (message instanceof ConsensusMessage.Prepare prepare) {
+      return "P" + prepare.ballot();
+    } else if (message instanceof ConsensusMessage.Promised promised) {
+      return "p" + promised.accepted() + " " + promised.value();
+    } else if (message instanceof ConsensusMessage.Accept accept) {
+      return "A" + accept.ballot() + " " + accept.value();
+    } else if (message instanceof ConsensusMessage.Accepted) {
       return "a";
     }
-    return m.toString();
+    return message.toString();
   }
 }
--- a/src/main/java/umberrun/consensus/sim/RegisterSimulation.java
+++ b/src/main/java/umberrun/consensus/sim/RegisterSimulation.java
@@ -21,24 +21,30 @@
 import umberrun.sim.VirtualNetwork;
 
 /**
- * Hosts that vote, append marks to registers and replace each other as voters, on the virtual
- * network. After each change the history is checked: what was done for one is seen by all that
- * begins later.
+ * Simulates hosts that vote, append marks to registers and replace each other as voters, on a
+ * virtual network. It checks after each operation that completed changes are seen by all operations
+ * that started later.
  */
 public final class RegisterSimulation {
-  /** Makes the machines; tests put in ones that are broken on purpose. */
+  /** Creates the state machines. Tests override it with faulty ones. */
   public interface Factory {
-    default EpochVoter seat(Map<String, Voter.Slot> synced) {
-      return new EpochVoter(synced, MOST_REGISTERS);
+    /** Creates a voter from the slots on its disk. */
+    default EpochVoter newVoter(Map<String, Voter.Slot> stored) {
+      return new EpochVoter(stored, MAX_REGISTERS);
     }
 
-    default VoterReplacement succession(
-        VoterSet known, String comes, String leaves, long until, VoterReplacement.Outbox out) {
-      return new VoterReplacement(known, comes, leaves, until, out);
+    /** Creates a replacement, with the parameters of {@link VoterReplacement}. */
+    default VoterReplacement newReplacement(
+        VoterSet knownVoters,
+        String newcomer,
+        String leaver,
+        long deadline,
+        VoterReplacement.Outbox out) {
+      return new VoterReplacement(knownVoters, newcomer, leaver, deadline, out);
     }
   }
 
-  /** A check that does not hold. */
+  /** An invariant does not hold. */
   public static final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -47,274 +53,302 @@
     }
   }
 
-  private static final Voter.Slot NOTHING =
+  private static final Voter.Slot EMPTY_SLOT =
       new Voter.Slot(Ballot.NONE, Ballot.NONE, RegisterValue.NONE);
-  private static final int MOST_REGISTERS = 16;
-  private static final long TRY_MICROS = 300_000;
-  private static final long CHANGE_MICROS = 2_000_000;
-  private static final long COMMAND_MICROS = 20_000_000;
-  private static final long SYNC_MICROS = 30_000;
-  private static final int MOST_MARKS = 400;
+  private static final int MAX_REGISTERS = 16;
+  private static final long REQUEST_TIMEOUT_MICROS = 300_000;
+  private static final long CHANGE_TIMEOUT_MICROS = 2_000_000;
+  private static final long COMMAND_TIMEOUT_MICROS = 20_000_000;
+  private static final long MAX_SYNC_MICROS = 30_000;
+
+  /** Number of marks after which hosts only read, which bounds the size of the registers. */
+  private static final int MAX_MARKS = 400;
+
+  /** Requester numbers: the two clients of a host, and its replacement. */
+  private static final int WORK_CLIENT = 0;
+
+  private static final int COMMAND_CLIENT = 1;
+  private static final int REPLACEMENT = 2;
+
   private static final List<String> REGISTERS = List.of("a", "b");
 
-  /** A host's proposer and what waits for it. */
-  private final class Way implements Proposer.Outbox {
-    private record Asked(
-        String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {}
+  /** A proposer of a host, with a queue. */
+  private final class RegisterClient implements Proposer.Outbox {
+    private record Operation(
+        String register, Proposer.Change change, long deadline, Consumer<RegisterValue> onResult) {}
 
     final Host host;
     final int number;
     Proposer proposer;
-    private final Deque<Asked> queue = new ArrayDeque<>();
-    private VirtualNetwork.ScheduledTask wait;
+    private final Deque<Operation> queue = new ArrayDeque<>();
+    private VirtualNetwork.ScheduledTask timer;
 
-    Way(Host host, int number) {
+    RegisterClient(Host host, int number) {
       this.host = host;
       this.number = number;
     }
 
-    void begin() {
+    void start() {
       queue.clear();
       proposer =
           new Proposer(
               name(host.number) + "/" + random.nextInt(1 << 30),
-              host.known.keys(),
-              TRY_MICROS,
+              host.knownVoters.keys(),
+              REQUEST_TIMEOUT_MICROS,
               random.split(),
               this);
     }
 
-    /** A change of null is a read. */
-    void submit(String register, Proposer.Change change, long until, Consumer<RegisterValue> then) {
-      queue.add(new Asked(register, change, until, then));
+    /** Queues a change, or a read if {@code change} is null. */
+    void submit(
+        String register, Proposer.Change change, long deadline, Consumer<RegisterValue> onResult) {
+      queue.add(new Operation(register, change, deadline, onResult));
       if (queue.size() == 1) {
         next();
       }
     }
 
     private void next() {
-      Asked a = queue.peek();
-      if (a != null && a.change == null) {
-        proposer.read(net.now(), a.register, a.until);
-      } else if (a != null) {
-        proposer.submit(net.now(), a.register, a.change, a.until);
+      Operation operation = queue.peek();
+      if (operation != null && operation.change == null) {
+        proposer.read(net.now(), operation.register, operation.deadline);
+      } else if (operation != null) {
+        proposer.submit(net.now(), operation.register, operation.change, operation.deadline);
       }
     }
 
     @Override
-    public void send(String voter, ConsensusMessage m) {
-      host.send(voter, m, number);
+    public void send(String voter, ConsensusMessage message) {
+      host.send(voter, message, number);
     }
 
     @Override
     public void retry(long at) {
-      if (wait != null) {
-        wait.cancel();
+      if (timer != null) {
+        timer.cancel();
       }
-      int mine = host.life;
-      wait =
+      int startedAt = host.startCount;
+      timer =
           net.at(
               host.number,
               at,
               () -> {
-                if (host.life == mine) {
+                if (host.startCount == startedAt) {
                   proposer.onTimer(net.now());
                 }
               });
     }
 
     @Override
-    public void done(RegisterValue v) {
-      Asked a = queue.poll();
+    public void done(RegisterValue value) {
+      Operation operation = queue.poll();
       next();
-      a.then.accept(v);
+      operation.onResult.accept(value);
     }
   }
 
+  /** A host: a voter with its disk if it has a store, two clients, and an operator command. */
   private final class Host {
     final int number;
     String key;
-    final Map<String, Voter.Slot> disk = new TreeMap<>();
-    final Map<String, Voter.Slot> unsynced = new TreeMap<>();
-    EpochVoter seat;
-    VoterSet known;
-    int life;
-    final Way client = new Way(this, 0);
-    final Way admin = new Way(this, 1);
-    VoterReplacement command;
-    VirtualNetwork.ScheduledTask commandWake;
-
-    Host(int number, VoterSet known) {
+    final Map<String, Voter.Slot> storedSlots = new TreeMap<>();
+    final Map<String, Voter.Slot> unsyncedSlots = new TreeMap<>();
+    EpochVoter voter;
+    VoterSet knownVoters;
+    int startCount;
+    final RegisterClient workClient = new RegisterClient(this, WORK_CLIENT);
+    final RegisterClient commandClient = new RegisterClient(this, COMMAND_CLIENT);
+    VoterReplacement replacement;
+    VirtualNetwork.ScheduledTask replacementTimer;
+
+    Host(int number, VoterSet knownVoters) {
       this.number = number;
-      this.known = known;
+      this.knownVoters = knownVoters;
       this.key = name(number) + "#0";
-      begin();
+      start();
     }
 
-    void begin() {
-      life++;
+    void start() {
+      startCount++;
       net.discardPending(number);
-      client.begin();
-      admin.begin();
-      command = null;
-      seat = key == null ? null : maker.seat(disk);
+      workClient.start();
+      commandClient.start();
+      replacement = null;
+      voter = key == null ? null : factory.newVoter(storedSlots);
     }
 
-    /** What was written and not synced is lost; so is the folder, where it is. */
-    void crash(boolean folderToo) {
-      unsynced.clear();
-      if (folderToo) {
-        disk.clear();
+    /**
+     * Restarts the host. Changes that are not synced are lost, and on request the store as well.
+     */
+    void crash(boolean loseStore) {
+      unsyncedSlots.clear();
+      if (loseStore) {
+        storedSlots.clear();
         key = null;
       }
-      begin();
+      start();
     }
 
-    void adopt(VoterSet v) {
-      if (v.epoch() > known.epoch()) {
-        known = v;
-        client.proposer.setVoters(net.now(), v.keys());
-        admin.proposer.setVoters(net.now(), v.keys());
+    void adopt(VoterSet voters) {
+      if (voters.epoch() > knownVoters.epoch()) {
+        knownVoters = voters;
+        workClient.proposer.setVoters(net.now(), voters.keys());
+        commandClient.proposer.setVoters(net.now(), voters.keys());
       }
     }
 
-    void ask(String asked, long epoch, ConsensusMessage m, Host from, int way, int asking) {
-      if (seat == null || !asked.equals(key)) {
-        return; // of a folder that is lost
+    void handle(
+        String requestedKey,
+        long epoch,
+        ConsensusMessage message,
+        Host from,
+        int requester,
+        int requesterStart) {
+      if (voter == null || !requestedKey.equals(key)) {
+        return; // addressed to the voter of a store that is lost
       }
-      Voter.VoteResult step = seat.handle(epoch, m);
-      if (step == null) {
+      Voter.VoteResult result = voter.handle(epoch, message);
+      if (result == null) {
         return;
       }
-      if (step.slot() != null) {
-        unsynced.put(step.register(), step.slot());
+      if (result.slot() != null) {
+        unsyncedSlots.put(result.register(), result.slot());
       }
-      int mine = life;
-      // A look shows what may not be on disk yet, and waits for it too.
+      int startedAt = startCount;
+      // A read may show changes that are not on disk yet, so its response waits for the sync too.
       net.at(
           number,
-          net.now() + (unsynced.isEmpty() ? 0 : random.nextLong(SYNC_MICROS)),
+          net.now() + (unsyncedSlots.isEmpty() ? 0 : random.nextLong(MAX_SYNC_MICROS)),
           () -> {
-            if (life == mine) {
-              disk.putAll(unsynced);
-              unsynced.clear();
-              net.send(number, from.number, () -> from.hear(asked, step.answer(), way, asking));
+            if (startCount == startedAt) {
+              storedSlots.putAll(unsyncedSlots);
+              unsyncedSlots.clear();
+              net.send(
+                  number,
+                  from.number,
+                  () -> from.receive(requestedKey, result.answer(), requester, requesterStart));
             }
           });
     }
 
-    void hear(String voter, ConsensusMessage m, int way, int asking) {
-      if (asking != life) {
-        return; // to a process that is no more: its numbers are used again
+    void receive(String voter, ConsensusMessage message, int requester, int requesterStart) {
+      if (requesterStart != startCount) {
+        return; // meant for the process before the restart, whose attempt numbers are used again
       }
-      if (m instanceof ConsensusMessage.Outdated o) {
-        adopt(o.voters());
+      if (message instanceof ConsensusMessage.Outdated outdated) {
+        adopt(outdated.voters());
       }
-      if (m instanceof ConsensusMessage.UnknownEpoch && known.epoch() > 0) {
-        send(voter, new ConsensusMessage.Install(0, known), 2);
-      } else if (way == 2 && command != null) {
-        command.receive(net.now(), voter, m);
-      } else if (way < 2) {
-        (way == 0 ? client : admin).proposer.receive(net.now(), voter, m);
+      if (message instanceof ConsensusMessage.UnknownEpoch && knownVoters.epoch() > 0) {
+        send(voter, new ConsensusMessage.Install(0, knownVoters), REPLACEMENT);
+      } else if (requester == REPLACEMENT && replacement != null) {
+        replacement.receive(net.now(), voter, message);
+      } else if (requester < REPLACEMENT) {
+        (requester == WORK_CLIENT ? workClient : commandClient)
+            .proposer.receive(net.now(), voter, message);
       }
     }
 
-    void send(String voter, ConsensusMessage m, int way) {
+    void send(String voter, ConsensusMessage message, int requester) {
       int to = Integer.parseInt(VoterSet.nameOf(voter).substring(1));
-      long epoch = known.epoch();
-      int asking = life;
-      net.send(number, to, () -> hosts[to].ask(voter, epoch, m, this, way, asking));
+      long epoch = knownVoters.epoch();
+      int requesterStart = startCount;
+      net.send(
+          number,
+          to,
+          () -> hosts[to].handle(voter, epoch, message, this, requester, requesterStart));
     }
 
-    /** Has a voter replaced by what this host names. */
-    void command(String comes, String leaves) {
-      command =
-          maker.succession(
-              known,
-              comes,
-              leaves,
-              net.now() + COMMAND_MICROS,
+    /** Starts the replacement of one voter by another. */
+    void startReplacement(String newcomer, String leaver) {
+      replacement =
+          factory.newReplacement(
+              knownVoters,
+              newcomer,
+              leaver,
+              net.now() + COMMAND_TIMEOUT_MICROS,
               new VoterReplacement.Outbox() {
                 @Override
-                public void send(String voter, ConsensusMessage m) {
-                  Host.this.send(voter, m, 2);
+                public void send(String voter, ConsensusMessage message) {
+                  Host.this.send(voter, message, REPLACEMENT);
                 }
 
                 @Override
-                public void propose(String register, Proposer.Change change, long until) {
-                  VoterReplacement self = command;
-                  admin.submit(
+                public void propose(String register, Proposer.Change change, long deadline) {
+                  VoterReplacement started = replacement;
+                  commandClient.submit(
                       register,
                       change,
-                      until,
-                      v -> {
-                        if (self == command) {
-                          self.onRegisterResult(net.now(), v);
+                      deadline,
+                      value -> {
+                        if (started == replacement) {
+                          started.onRegisterResult(net.now(), value);
                         }
                       });
                 }
 
                 @Override
-                public void adopt(VoterSet v) {
-                  Host.this.adopt(v);
+                public void adopt(VoterSet voters) {
+                  Host.this.adopt(voters);
                 }
 
                 @Override
                 public void startTimer(long at) {
-                  int mine = life;
-                  VoterReplacement self = command;
-                  commandWake =
+                  int startedAt = startCount;
+                  VoterReplacement started = replacement;
+                  replacementTimer =
                       net.at(
                           number,
                           at,
                           () -> {
-                            if (life == mine && self == command) {
-                              self.onTimer(net.now());
+                            if (startCount == startedAt && started == replacement) {
+                              started.onTimer(net.now());
                             }
                           });
                 }
 
                 @Override
                 public void completed(String fault) {
-                  replaced += fault == null ? 1 : 0;
-                  command = null;
+                  replacementCount += fault == null ? 1 : 0;
+                  replacement = null;
                 }
               });
-      command.start(net.now());
+      replacement.start(net.now());
     }
   }
 
   private final VirtualNetwork net;
   private final SplittableRandom random;
-  private final Factory maker;
+  private final Factory factory;
   private final Host[] hosts;
-  private final Map<String, List<String>> done = new TreeMap<>();
-  private int marks;
-  private int replaced;
+  private final Map<String, List<String>> completedResults = new TreeMap<>();
+  private int markCount;
+  private int replacementCount;
 
   /**
-   * @param voters of the hosts, the first ones
+   * @param voters number of hosts that vote at first, those with the lowest numbers
+   * @param seed determines the whole execution
+   * @param factory creates the state machines
    */
-  public RegisterSimulation(int hostCount, int voters, long seed, Factory maker) {
+  public RegisterSimulation(int hostCount, int voters, long seed, Factory factory) {
     this.random = new SplittableRandom(seed);
     this.net = new VirtualNetwork(hostCount, random.split());
-    this.maker = maker;
+    this.factory = factory;
     this.hosts = new Host[hostCount];
     net.setLinks(0, 0.02, 200, 5_000);
-    REGISTERS.forEach(r -> done.put(r, new ArrayList<>()));
+    REGISTERS.forEach(r -> completedResults.put(r, new ArrayList<>()));
     VoterSet first =
         VoterSet.first(IntStream.range(0, voters).mapToObj(i -> name(i) + "#0").toList());
     for (int i = 0; i < hostCount; i++) {
       hosts[i] = new Host(i, first);
       if (i < voters) {
-        Voter.VoteResult s = EpochVoter.initialSlot(first);
-        hosts[i].disk.put(s.register(), s.slot());
-        hosts[i].begin();
+        Voter.VoteResult initial = EpochVoter.initialSlot(first);
+        hosts[i].storedSlots.put(initial.register(), initial.slot());
+        hosts[i].start();
       } else {
         hosts[i].key = null;
-        hosts[i].begin();
+        hosts[i].start();
       }
-      work(i);
+      scheduleWork(i);
     }
   }
 
@@ -322,173 +356,192 @@
     return "h" + host;
   }
 
+  /** The network, whose nodes are the hosts. */
   public VirtualNetwork net() {
     return net;
   }
 
+  /** Number of hosts. */
   public int hostCount() {
     return hosts.length;
   }
 
-  /** Changes done, and voters replaced. */
-  public int done() {
-    return done.values().stream().mapToInt(List::size).sum();
+  /** Number of completed changes and reads. */
+  public int completedCount() {
+    return completedResults.values().stream().mapToInt(List::size).sum();
   }
 
-  public int replaced() {
-    return replaced;
+  /** Number of successful replacements of voters. */
+  public int replacementCount() {
+    return replacementCount;
   }
 
-  /** Each host changes and reads now and then. */
-  private void work(int host) {
+  /** Has a host read or change a register at random times. */
+  private void scheduleWork(int hostNumber) {
     net.at(
         net.now() + random.nextLong(400_000),
         () -> {
-          Host h = hosts[host];
-          if (!net.isPaused(host) && !h.client.proposer.isBusy()) {
+          Host host = hosts[hostNumber];
+          if (!net.isPaused(hostNumber) && !host.workClient.proposer.isBusy()) {
             String register = REGISTERS.get(random.nextInt(REGISTERS.size()));
-            List<String> before = List.copyOf(done.get(register));
-            boolean reads = marks >= MOST_MARKS || random.nextInt(3) == 0;
-            String mark = "," + (reads ? marks : marks++) + ",";
+            List<String> earlierResults = List.copyOf(completedResults.get(register));
+            boolean reads = markCount >= MAX_MARKS || random.nextInt(3) == 0;
+            String mark = "," + (reads ? markCount : markCount++) + ",";
             Proposer.Change change =
-                reads ? null : v -> v.text().contains(mark) ? v : v.withText(v.text() + mark);
-            h.client.submit(
+                reads
+                    ? null
+                    : value ->
+                        value.text().contains(mark) ? value : value.withText(value.text() + mark);
+            host.workClient.submit(
                 register,
                 change,
-                net.now() + CHANGE_MICROS,
-                v -> {
-                  if (v != null) {
-                    over(register, v.text(), before);
+                net.now() + CHANGE_TIMEOUT_MICROS,
+                value -> {
+                  if (value != null) {
+                    checkResult(register, value.text(), earlierResults);
                   }
                 });
           }
-          work(host);
+          scheduleWork(hostNumber);
         });
   }
 
-  private void over(String register, String text, List<String> before) {
-    for (String b : before) {
-      if (!text.startsWith(b)) {
+  private void checkResult(String register, String text, List<String> earlierResults) {
+    for (String earlier : earlierResults) {
+      if (!text.startsWith(earlier)) {
         throw new InvariantViolation(
             "register "
                 + register
                 + ": '"
-                + b
-                + "' was done before '"
+                + earlier
+                + "' was complete before '"
                 + text
-                + "' began, at "
+                + "' was started, at "
                 + net.now());
       }
     }
-    for (String d : done.get(register)) {
-      if (!text.startsWith(d) && !d.startsWith(text)) {
+    for (String other : completedResults.get(register)) {
+      if (!text.startsWith(other) && !other.startsWith(text)) {
         throw new InvariantViolation(
             "register "
                 + register
                 + ": both '"
-                + d
+                + other
                 + "' and '"
                 + text
-                + "' were done, at "
+                + "' were completed, at "
                 + net.now());
       }
     }
-    done.get(register).add(text);
+    completedResults.get(register).add(text);
   }
 
   /**
-   * Kills a host and starts it again at once; with {@code folderToo}, what it had on disk is lost.
+   * Kills a host and restarts it at once.
+   *
+   * @param loseStore whether it loses the contents of its disk
    */
-  public void crash(int host, boolean folderToo) {
-    hosts[host].crash(folderToo);
+  public void crash(int host, boolean loseStore) {
+    hosts[host].crash(loseStore);
   }
 
   /**
-   * An operator at one host has another take a seat with a new folder, in the place of the voter of
-   * some host.
+   * An operator command that replaces a voter, unless it is not possible now.
+   *
+   * @param at the host that runs the command
+   * @param newcomer the host that gets a new store and votes
+   * @param leaver the host whose voter leaves
    */
-  public void replace(int at, int comes, int leaves) {
-    Host c = hosts[comes];
-    String leaving = hosts[at].known.keyOf(name(leaves));
+  public void replace(int at, int newcomer, int leaver) {
+    Host newcomerHost = hosts[newcomer];
+    String leaving = hosts[at].knownVoters.keyOf(name(leaver));
     if (leaving == null
-        || hosts[at].command != null
-        || c.seat != null && c.seat.mustKeepStore(c.key, hosts[at].known)) {
-      return; // nobody leaves, or a command is under way, or it votes already
+        || hosts[at].replacement != null
+        || newcomerHost.voter != null
+            && newcomerHost.voter.mustKeepStore(newcomerHost.key, hosts[at].knownVoters)) {
+      return; // the host does not vote, a command is in progress, or the newcomer votes already
     }
-    if (c.seat == null || c.seat.voters().epoch() > 0) {
-      c.key = name(comes) + "#" + (1 + random.nextInt(1 << 30));
-      c.disk.clear();
-      c.unsynced.clear();
-      c.begin();
+    if (newcomerHost.voter == null || newcomerHost.voter.voters().epoch() > 0) {
+      newcomerHost.key = name(newcomer) + "#" + (1 + random.nextInt(1 << 30));
+      newcomerHost.storedSlots.clear();
+      newcomerHost.unsyncedSlots.clear();
+      newcomerHost.start();
     }
-    hosts[at].command(c.key, leaving);
+    hosts[at].startReplacement(newcomerHost.key, leaving);
   }
 
-  /** How many of those that vote, as the best informed host knows them, have lost their folders. */
-  public int lost() {
-    VoterSet v = newest();
-    int lost = 0;
-    for (String k : v.keys()) {
-      lost += k.equals(hosts[Integer.parseInt(VoterSet.nameOf(k).substring(1))].key) ? 0 : 1;
+  /** Number of voters in the newest set that have lost their stores. */
+  public int lostStoreCount() {
+    VoterSet newest = newestSet();
+    int lostStores = 0;
+    for (String key : newest.keys()) {
+      lostStores +=
+          key.equals(hosts[Integer.parseInt(VoterSet.nameOf(key).substring(1))].key) ? 0 : 1;
     }
-    return lost;
+    return lostStores;
   }
 
-  private VoterSet newest() {
-    VoterSet v = hosts[0].known;
-    for (Host h : hosts) {
-      v = h.known.epoch() > v.epoch() ? h.known : v;
-      for (VoterSet at :
-          h.seat == null ? List.<VoterSet>of() : List.of(h.seat.voters(), written(h.seat))) {
-        v = at.epoch() > v.epoch() ? at : v;
+  /** The newest set that any host knows, has installed or holds in the register. */
+  private VoterSet newestSet() {
+    VoterSet newest = hosts[0].knownVoters;
+    for (Host host : hosts) {
+      newest = host.knownVoters.epoch() > newest.epoch() ? host.knownVoters : newest;
+      for (VoterSet candidate :
+          host.voter == null
+              ? List.<VoterSet>of()
+              : List.of(host.voter.voters(), setInRegister(host.voter))) {
+        newest = candidate.epoch() > newest.epoch() ? candidate : newest;
       }
     }
-    return v;
+    return newest;
   }
 
-  /** The set that is being written, or was and nobody has taken yet. */
-  private static VoterSet written(EpochVoter s) {
-    return VoterSet.parse(s.slots().getOrDefault(VoterSet.REGISTER, NOTHING).value().text());
+  /** The set that a voter holds in the register, which may not be installed yet. */
+  private static VoterSet setInRegister(EpochVoter voter) {
+    return VoterSet.parse(voter.slots().getOrDefault(VoterSet.REGISTER, EMPTY_SLOT).value().text());
   }
 
-  /** Hosts whose voters count now. */
-  public List<Integer> voting() {
-    return newest().keys().stream()
+  /** The hosts in the newest set. */
+  public List<Integer> votingHosts() {
+    return newestSet().keys().stream()
         .map(k -> Integer.parseInt(VoterSet.nameOf(k).substring(1)))
         .toList();
   }
 
   /**
-   * Whether all that vote have taken the newest set, nothing is on the way, and nobody is about to
-   * change it.
+   * Whether all voters have installed the newest set, no voter is about to leave, and no command
+   * runs.
    */
   public boolean isSettled() {
-    VoterSet v = newest();
-    return Arrays.stream(hosts).allMatch(h -> h.command == null)
-        && v.leaving().isEmpty()
-        && voting().stream()
-            .allMatch(i -> hosts[i].seat != null && hosts[i].seat.voters().equals(v));
+    VoterSet newest = newestSet();
+    return Arrays.stream(hosts).allMatch(host -> host.replacement == null)
+        && newest.leaving().isEmpty()
+        && votingHosts().stream()
+            .allMatch(i -> hosts[i].voter != null && hosts[i].voter.voters().equals(newest));
   }
 
-  /** Each host's key, the set that it knows and the one it has taken. */
+  /** Each host's key, the set that it knows and the one that it has installed. */
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
-    for (Host h : hosts) {
-      text.append(h.key)
+    for (Host host : hosts) {
+      text.append(host.key)
           .append(" knows ")
-          .append(h.known.text())
-          .append(", took ")
+          .append(host.knownVoters.text())
+          .append(", installed ")
           .append(
-              h.seat == null
+              host.voter == null
                   ? "none"
-                  : h.seat.voters().text() + ", writes " + written(h.seat).text())
-          .append(h.command == null ? "" : ", commands")
+                  : host.voter.voters().text()
+                      + ", register holds "
+                      + setInRegister(host.voter).text())
+          .append(host.replacement == null ? "" : ", runs a command")
           .append('\n');
     }
     return text.toString();
   }
 
+  /** Runs the simulation for a span of time, in microseconds. */
   public void run(long span) {
     net.run(net.now() + span);
   }
--- a/src/test/java/umberrun/consensus/RegisterModelTest.java
+++ b/src/test/java/umberrun/consensus/RegisterModelTest.java
@@ -13,55 +13,58 @@
 import umberrun.consensus.sim.RegisterModel;
 import umberrun.sim.ModelChecker;
 
-/** The agreement in all orders of a small case, and the guards of one voter. */
+/**
+ * Checks the consensus protocol in all message orders of a small model, and the limits of a voter.
+ */
 public class RegisterModelTest {
-  private static final int MOST = 1_000_000;
+  private static final int MAX_STATES = 1_000_000;
 
-  /** All orders and losses of the messages of two changes among three voters. */
+  /** All orders and losses of the messages of two changes with three voters. */
   @Test
-  public void whatWasDoneIsSeenByAllThatFollows() {
-    ModelChecker e = new ModelChecker(new RegisterModel(2, 0, 0, true), MOST);
-    assertNull(e.check());
-    assertTrue("went through " + e.states(), e.states() > 20_000 && e.isExhaustive());
+  public void completedChangesAreSeenByLaterOnes() {
+    ModelChecker checker = new ModelChecker(new RegisterModel(2, 0, 0, true), MAX_STATES);
+    assertNull(checker.check());
+    assertTrue("states: " + checker.states(), checker.states() > 20_000 && checker.isExhaustive());
   }
 
-  /** Guards the check: voters that answer first and lose that in a crash. */
+  /** The model detects voters that respond before they sync, and so lose changes in a crash. */
   @Test
-  public void votersThatAnswerBeforeTheirSyncAreCaught() {
-    assertNotNull(new ModelChecker(new RegisterModel(2, 0, 1, false), MOST).check());
+  public void respondingBeforeSyncIsDetected() {
+    assertNotNull(new ModelChecker(new RegisterModel(2, 0, 1, false), MAX_STATES).check());
   }
 
   /**
-   * Bounds of a voter's memory: a register too many and a text too long get no vote, the others
-   * theirs.
+   * A request for one register too many or with too long a text gets no response; others still do.
    */
   @Test
-  public void aVotersMemoryIsBounded() {
-    Voter v = new Voter(Map.of(), 1);
-    Ballot b = new Ballot(1, "p");
-    assertNotNull(v.handle(new ConsensusMessage.Prepare(1, "r", b)));
-    assertNull(v.handle(new ConsensusMessage.Prepare(1, "s", b)));
+  public void slotsOfAVoterAreBounded() {
+    Voter voter = new Voter(Map.of(), 1);
+    Ballot ballot = new Ballot(1, "p");
+    assertNotNull(voter.handle(new ConsensusMessage.Prepare(1, "r", ballot)));
+    assertNull(voter.handle(new ConsensusMessage.Prepare(1, "s", ballot)));
     assertNull(
-        v.handle(
+        voter.handle(
             new ConsensusMessage.Accept(
-                1, "r", b, new RegisterValue(1, "x".repeat(RegisterValue.MAX_BYTES + 1)))));
+                1, "r", ballot, new RegisterValue(1, "x".repeat(RegisterValue.MAX_BYTES + 1)))));
     assertTrue(
-        v.handle(new ConsensusMessage.Accept(1, "r", b, new RegisterValue(1, "x"))).answer()
+        voter
+                .handle(new ConsensusMessage.Accept(1, "r", ballot, new RegisterValue(1, "x")))
+                .answer()
             instanceof ConsensusMessage.Accepted);
     assertTrue(
-        v.handle(new ConsensusMessage.Prepare(2, "r", b)).answer()
+        voter.handle(new ConsensusMessage.Prepare(2, "r", ballot)).answer()
             instanceof ConsensusMessage.Refused);
   }
 
   /**
-   * A read by looks alone is done where a majority has the same last, and goes through both phases
-   * where not.
+   * A read ends without a prepare if a majority reports the same ballot, and goes through both
+   * phases otherwise.
    */
   @Test
-  public void aReadDisturbsNobodyWhereAMajorityAgrees() {
+  public void readSendsNoPrepareIfAMajorityAgrees() {
     List<ConsensusMessage> sent = new ArrayList<>();
-    List<RegisterValue> done = new ArrayList<>();
-    Proposer p =
+    List<RegisterValue> results = new ArrayList<>();
+    Proposer proposer =
         new Proposer(
             "p",
             List.of("v0", "v1", "v2"),
@@ -69,37 +72,38 @@
             new SplittableRandom(1),
             new Proposer.Outbox() {
               @Override
-              public void send(String voter, ConsensusMessage m) {
-                sent.add(m);
+              public void send(String voter, ConsensusMessage message) {
+                sent.add(message);
               }
 
               @Override
               public void retry(long at) {
-                // not played here
+                // no timer is needed here
               }
 
               @Override
-              public void done(RegisterValue v) {
-                done.add(v);
+              public void done(RegisterValue value) {
+                results.add(value);
               }
             });
-    Ballot b = new Ballot(3, "q");
-    p.read(0, "r", 9);
-    p.receive(0, "v0", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x")));
-    p.receive(
-        0,
-        "v0",
-        new ConsensusMessage.ReadResult(
-            1, b, new RegisterValue(2, "x"))); // said twice, it counts once
-    assertTrue(done.isEmpty());
-    p.receive(0, "v2", new ConsensusMessage.ReadResult(1, b, new RegisterValue(2, "x")));
-    assertTrue(done.get(0).text().equals("x") && sent.size() == 3);
-    p.read(0, "r", 9);
-    p.receive(0, "v0", new ConsensusMessage.ReadResult(2, b, new RegisterValue(2, "x")));
-    p.receive(
+    Ballot ballot = new Ballot(3, "q");
+    proposer.read(0, "r", 9);
+    proposer.receive(
+        0, "v0", new ConsensusMessage.ReadResult(1, ballot, new RegisterValue(2, "x")));
+    proposer.receive(
+        0, "v0", new ConsensusMessage.ReadResult(1, ballot, new RegisterValue(2, "x")));
+    assertTrue("a repeated response counts once", results.isEmpty());
+    proposer.receive(
+        0, "v2", new ConsensusMessage.ReadResult(1, ballot, new RegisterValue(2, "x")));
+    assertTrue(results.get(0).text().equals("x") && sent.size() == 3);
+    proposer.read(0, "r", 9);
+    proposer.receive(
+        0, "v0", new ConsensusMessage.ReadResult(2, ballot, new RegisterValue(2, "x")));
+    proposer.receive(
         0, "v1", new ConsensusMessage.ReadResult(2, new Ballot(2, "q"), new RegisterValue(1, "w")));
-    assertEquals("two differ: the third may agree with one of them", 6, sent.size());
-    p.receive(0, "v2", new ConsensusMessage.ReadResult(2, new Ballot(1, "q"), RegisterValue.NONE));
-    assertTrue(done.size() == 1 && sent.get(8) instanceof ConsensusMessage.Prepare);
+    assertEquals("waits for the third voter, which may agree with one of the two", 6, sent.size());
+    proposer.receive(
+        0, "v2", new ConsensusMessage.ReadResult(2, new Ballot(1, "q"), RegisterValue.NONE));
+    assertTrue(results.size() == 1 && sent.get(8) instanceof ConsensusMessage.Prepare);
   }
 }
--- a/src/test/java/umberrun/consensus/RegisterSeedsTest.java
+++ b/src/test/java/umberrun/consensus/RegisterSeedsTest.java
@@ -11,138 +11,152 @@
 import umberrun.consensus.sim.RegisterSimulation.Factory;
 
 /**
- * Registers while voters are replaced, killed, lose their folders and are cut off, and variants
- * that must be caught.
+ * Simulates registers while voters are replaced, killed, lose their stores and are cut off, and
+ * checks that the simulation detects faulty implementations.
  */
 public class RegisterSeedsTest {
   private static final long SECOND = 1_000_000;
-  private static final Factory SOUND = new Factory() {};
+  private static final Factory CORRECT = new Factory() {};
 
-  private int done;
+  private int completed;
   private int replaced;
 
-  private String play(long seed, Factory maker) {
+  /** Runs one seed; returns what went wrong, or null. */
+  private String runSeed(long seed, Factory factory) {
     SplittableRandom random = new SplittableRandom(seed);
-    RegisterSimulation t = new RegisterSimulation(5, 3, random.nextLong(), maker);
+    RegisterSimulation simulation = new RegisterSimulation(5, 3, random.nextLong(), factory);
     try {
       for (int i = 0; i < 14; i++) {
-        draw(t, random);
-        t.run(random.nextLong(2 * SECOND));
+        injectFault(simulation, random);
+        simulation.run(random.nextLong(2 * SECOND));
       }
-      t.net().healAll();
-      t.net().setLinks(0, 0.02, 200, 5_000);
-      for (int i = 0; i < t.hostCount(); i++) {
-        t.net().resume(i);
+      simulation.net().healAll();
+      simulation.net().setLinks(0, 0.02, 200, 5_000);
+      for (int i = 0; i < simulation.hostCount(); i++) {
+        simulation.net().resume(i);
       }
-      t.run(3 * SECOND);
-      int before = t.done();
-      t.run(6 * SECOND);
-      done += t.done();
-      replaced += t.replaced();
-      return t.done() > before ? null : "seed " + seed + ": nothing is done in fair times\n" + t;
+      simulation.run(3 * SECOND);
+      int completedBefore = simulation.completedCount();
+      simulation.run(6 * SECOND);
+      completed += simulation.completedCount();
+      replaced += simulation.replacementCount();
+      return simulation.completedCount() > completedBefore
+          ? null
+          : "seed " + seed + ": nothing is completed on a healthy network\n" + simulation;
     } catch (RegisterSimulation.InvariantViolation e) {
       return "seed " + seed + ": " + e.getMessage();
     }
   }
 
-  private static void draw(RegisterSimulation t, SplittableRandom random) {
-    int a = random.nextInt(t.hostCount());
-    int b = random.nextInt(t.hostCount());
-    long later = t.net().now() + random.nextLong(3 * SECOND);
+  /**
+   * Draws one event: a replacement, a crash, a lost store, a pause, a cut or other link properties.
+   */
+  private static void injectFault(RegisterSimulation simulation, SplittableRandom random) {
+    int host = random.nextInt(simulation.hostCount());
+    int otherHost = random.nextInt(simulation.hostCount());
+    long endTime = simulation.net().now() + random.nextLong(3 * SECOND);
     switch (random.nextInt(8)) {
       case 0, 1, 2 ->
-          t.replace(
-              random.nextInt(t.hostCount()), a, t.voting().get(random.nextInt(t.voting().size())));
-      case 3 -> t.crash(a, false);
-      case 4 -> { // a folder is lost: one at a time, as a majority of them would be the end
-        if (t.lost() == 0 && t.isSettled()) {
-          t.crash(a, true);
-          t.replace(b, a, a);
+          simulation.replace(
+              random.nextInt(simulation.hostCount()),
+              host,
+              simulation.votingHosts().get(random.nextInt(simulation.votingHosts().size())));
+      case 3 -> simulation.crash(host, false);
+      // Loses one store at a time, as the loss of a majority of them cannot be survived.
+      case 4 -> {
+        if (simulation.lostStoreCount() == 0 && simulation.isSettled()) {
+          simulation.crash(host, true);
+          simulation.replace(otherHost, host, host);
         }
       }
       case 5 -> {
-        t.net().pause(a);
-        t.net().at(later, () -> t.net().resume(a));
+        simulation.net().pause(host);
+        simulation.net().at(endTime, () -> simulation.net().resume(host));
       }
       case 6 -> {
-        for (int i = 0; i < t.hostCount(); i++) {
-          if (i != a) {
-            t.net().cut(a, i);
+        for (int i = 0; i < simulation.hostCount(); i++) {
+          if (i != host) {
+            simulation.net().cut(host, i);
             if (random.nextBoolean()) {
-              t.net().cut(i, a);
+              simulation.net().cut(i, host);
             }
           }
         }
-        t.net().at(later, t.net()::healAll);
+        simulation.net().at(endTime, simulation.net()::healAll);
       }
       default ->
-          t.net()
+          simulation
+              .net()
               .setLinks(0.2 * random.nextDouble(), 0.1, 200, 5_000 + random.nextLong(SECOND / 4));
     }
   }
 
-  private String firstBroken(int seeds, Factory maker) {
+  /** The first violation in this number of seeds, or null. A lack of progress does not count. */
+  private String firstViolation(int seeds, Factory factory) {
     for (long seed = 1; seed <= seeds; seed++) {
-      String broken = play(seed, maker);
-      if (broken != null && !broken.contains("nothing")) {
-        return broken;
+      String violation = runSeed(seed, factory);
+      if (violation != null && !violation.contains("nothing")) {
+        return violation;
       }
     }
     return null;
   }
 
   @Test
-  public void whatWasDoneIsSeenWhoeverVotes() {
+  public void completedChangesAreSeenWhileVotersAreReplaced() {
     for (long seed = 1; seed <= 400; seed++) {
-      assertNull(play(seed, SOUND));
+      assertNull(runSeed(seed, CORRECT));
     }
-    assertTrue(done + " done, " + replaced + " replaced", done > 400 * 30 && replaced > 400 / 2);
+    assertTrue(
+        completed + " completed, " + replaced + " replaced",
+        completed > 400 * 30 && replaced > 400 / 2);
   }
 
-  /**
-   * Guards the checks: a set that follows at once, whose majorities do not meet those of the one
-   * before.
-   */
+  /** A replacement that skips the transitional set: majorities of the two sets need not overlap. */
   @Test
-  public void swappingTwoAtOnceIsCaught() {
+  public void replacingInOneStepIsDetected() {
     assertNotNull(
-        firstBroken(
+        firstViolation(
             4_000,
             new Factory() {
               @Override
-              public VoterReplacement succession(
+              public VoterReplacement newReplacement(
                   VoterSet known,
-                  String comes,
-                  String leaves,
-                  long until,
+                  String newcomer,
+                  String leaver,
+                  long deadline,
                   VoterReplacement.Outbox out) {
-                return new VoterReplacement(known, comes, leaves, until, out) {
+                return new VoterReplacement(known, newcomer, leaver, deadline, out) {
                   @Override
                   protected VoterSet nextVoterSet() {
-                    VoterSet both = super.nextVoterSet();
-                    VoterSet after = both.withoutLeaving();
-                    return new VoterSet(both.epoch(), after.keys(), "", both.former());
+                    VoterSet transitional = super.nextVoterSet();
+                    VoterSet after = transitional.withoutLeaving();
+                    return new VoterSet(
+                        transitional.epoch(), after.keys(), "", transitional.former());
                   }
                 };
               }
             }));
   }
 
-  /** Guards the checks: one that lets a voter go before what it alone may hold is carried over. */
+  /**
+   * A replacement that removes a voter without first copying the registers, some values of which it
+   * alone may hold.
+   */
   @Test
-  public void notCarryingOverIsCaught() {
+  public void notCopyingRegistersIsDetected() {
     assertNotNull(
-        firstBroken(
+        firstViolation(
             4_000,
             new Factory() {
               @Override
-              public VoterReplacement succession(
+              public VoterReplacement newReplacement(
                   VoterSet known,
-                  String comes,
-                  String leaves,
-                  long until,
+                  String newcomer,
+                  String leaver,
+                  long deadline,
                   VoterReplacement.Outbox out) {
-                return new VoterReplacement(known, comes, leaves, until, out) {
+                return new VoterReplacement(known, newcomer, leaver, deadline, out) {
                   @Override
                   protected boolean copiesRegisters() {
                     return false;
@@ -152,25 +166,26 @@
             }));
   }
 
-  /** Guards the checks: voters that answer questions of sets that were replaced. */
+  /** Voters that answer requests of replaced sets. */
   @Test
-  public void answeringOldSetsIsCaught() {
+  public void answeringOutdatedRequestsIsDetected() {
     assertNotNull(
-        firstBroken(
+        firstViolation(
             4_000,
             new Factory() {
               @Override
-              public EpochVoter seat(Map<String, Voter.Slot> synced) {
-                return new EpochVoter(synced, 16) {
+              public EpochVoter newVoter(Map<String, Voter.Slot> stored) {
+                return new EpochVoter(stored, 16) {
                   @Override
                   protected boolean isOutdated(long epoch) {
                     return false;
                   }
 
                   @Override
-                  public Voter.VoteResult handle(long epoch, ConsensusMessage m) {
+                  public Voter.VoteResult handle(long epoch, ConsensusMessage request) {
                     return super.handle(
-                        m instanceof ConsensusMessage.Install ? epoch : voters().epoch(), m);
+                        request instanceof ConsensusMessage.Install ? epoch : voters().epoch(),
+                        request);
                   }
                 };
               }
--- a/src/test/java/umberrun/consensus/disk/VoterStoreTest.java
+++ b/src/test/java/umberrun/consensus/disk/VoterStoreTest.java
@@ -20,82 +20,86 @@
 import umberrun.consensus.Voter;
 import umberrun.consensus.disk.VoterStore.UnusableStore;
 
-/** A voter's memory through damage: it has all that it answered for, or it does not vote. */
+/**
+ * Damages a voter store in many ways: it must still have all slots that were written, or be
+ * rejected.
+ */
 public class VoterStoreTest {
   @Rule public final TemporaryFolder temporary = new TemporaryFolder();
 
-  private Path voted(String name, int rounds) throws Exception {
+  /** Creates a store and writes this number of votes to it. */
+  private Path createStore(String name, int rounds) throws Exception {
     Path folder = temporary.getRoot().toPath().resolve(name);
     VoterStore.create(folder, name);
-    try (VoterStore f = VoterStore.open(folder, name)) {
-      Voter v = new Voter(f.slots(), 16);
+    try (VoterStore store = VoterStore.open(folder, name)) {
+      Voter voter = new Voter(store.slots(), 16);
       for (int i = 1; i <= rounds; i++) {
-        Ballot b = new Ballot(i, "p 1");
-        f.write(
+        Ballot ballot = new Ballot(i, "p 1");
+        store.write(
             List.of(
-                v.handle(new ConsensusMessage.Prepare(i, "r", b)),
-                v.handle(new ConsensusMessage.Accept(i, "r", b, new RegisterValue(i, "x " + i)))));
+                voter.handle(new ConsensusMessage.Prepare(i, "r", ballot)),
+                voter.handle(
+                    new ConsensusMessage.Accept(i, "r", ballot, new RegisterValue(i, "x " + i)))));
       }
     }
     return folder;
   }
 
   private static Map<String, Voter.Slot> slots(Path folder, String owner) throws Exception {
-    try (VoterStore f = VoterStore.open(folder, owner)) {
-      return f.slots();
+    try (VoterStore store = VoterStore.open(folder, owner)) {
+      return store.slots();
     }
   }
 
-  /**
-   * Cut short at every byte, each of its files: all that was promised is there, or the voter says
-   * that it is not.
-   */
+  /** Truncates each file at many lengths: the store either has all slots or is rejected. */
   @Test
-  public void cutShortAnywhereItVotesOnAllOrNothing() throws Exception {
-    Path folder = voted("v0", 5);
-    Map<String, Voter.Slot> whole = slots(folder, "v0");
-    assertEquals(new RegisterValue(5, "x 5"), whole.get("r").value());
+  public void truncatedFilesGiveAllSlotsOrAreRejected() throws Exception {
+    Path folder = createStore("v0", 5);
+    Map<String, Voter.Slot> complete = slots(folder, "v0");
+    assertEquals(new RegisterValue(5, "x 5"), complete.get("r").value());
     for (String name : List.of("registers.mv", "seal")) {
       Path file = folder.resolve(name);
       byte[] bytes = Files.readAllBytes(file);
-      int unfit = 0;
+      int rejected = 0;
       for (int length = 0;
           length < bytes.length;
           length += length < 64 || bytes.length - length < 512 ? 1 : 61) {
         Files.write(file, Arrays.copyOf(bytes, length));
         try {
-          assertEquals(name + " cut at " + length, whole, slots(folder, "v0"));
+          assertEquals(name + " cut at " + length, complete, slots(folder, "v0"));
         } catch (UnusableStore e) {
-          unfit++;
+          rejected++;
         }
       }
-      assertTrue(name + " was never found wanting", unfit > 0);
+      assertTrue(name + " was never rejected", rejected > 0);
       Files.write(file, bytes);
     }
-    assertEquals(whole, slots(folder, "v0"));
+    assertEquals(complete, slots(folder, "v0"));
   }
 
-  /** Votes go on for months: the space of what was overwritten is used again. */
+  /** Voters run for months, so the space of overwritten slots must be reused. */
   @Test
-  public void theFileDoesNotGrowWithTheVotes() throws Exception {
-    Path store = voted("v0", 20).resolve("registers.mv");
-    long few = Files.size(store);
-    long many = Files.size(voted("v1", 400).resolve("registers.mv"));
-    assertTrue(few + " and " + many, many <= 4 * few);
+  public void fileDoesNotGrowWithTheNumberOfVotes() throws Exception {
+    Path file = createStore("v0", 20).resolve("registers.mv");
+    long sizeAfterFewVotes = Files.size(file);
+    long sizeAfterManyVotes = Files.size(createStore("v1", 400).resolve("registers.mv"));
+    assertTrue(
+        sizeAfterFewVotes + " and " + sizeAfterManyVotes,
+        sizeAfterManyVotes <= 4 * sizeAfterFewVotes);
   }
 
-  /** An older copy put back under a newer seal has forgotten what was promised. */
+  /** A file restored from an older copy lacks promises, which the newer seal reveals. */
   @Test
-  public void anOlderCopyIsNotVotedOn() throws Exception {
-    Path folder = voted("v0", 2);
-    byte[] old = Files.readAllBytes(folder.resolve("registers.mv"));
-    try (VoterStore f = VoterStore.open(folder, "v0")) {
-      f.write(
+  public void olderCopyIsRejected() throws Exception {
+    Path folder = createStore("v0", 2);
+    byte[] oldCopy = Files.readAllBytes(folder.resolve("registers.mv"));
+    try (VoterStore store = VoterStore.open(folder, "v0")) {
+      store.write(
           List.of(
-              new Voter(f.slots(), 16)
+              new Voter(store.slots(), 16)
                   .handle(new ConsensusMessage.Prepare(9, "r", new Ballot(9, "q")))));
     }
-    Files.write(folder.resolve("registers.mv"), old);
+    Files.write(folder.resolve("registers.mv"), oldCopy);
     assertTrue(
         assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v0"))
             .getMessage()
@@ -103,32 +107,34 @@
   }
 
   @Test
-  public void anothersALostAndAHeldFolderAreNotVotedOn() throws Exception {
-    Path folder = voted("v0", 1);
+  public void foreignLockedAndIncompleteStoresAreRejected() throws Exception {
+    Path folder = createStore("v0", 1);
     assertTrue(
         assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v1"))
             .getMessage()
             .contains("v0"));
     assertThrows(UnusableStore.class, () -> VoterStore.create(folder, "v0"));
-    try (VoterStore f = VoterStore.open(folder, "v0")) {
+    try (VoterStore store = VoterStore.open(folder, "v0")) {
       assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v0"));
     }
     Files.delete(folder.resolve("registers.mv"));
     assertThrows(UnusableStore.class, () -> VoterStore.open(folder, "v0"));
   }
 
-  /** A write that fails ends the voting of this process: what is on disk is then not known. */
+  /**
+   * After a failed write the contents on disk are unknown, so the process must not vote any more.
+   */
   @Test
-  public void aFailedWriteIsForGood() throws Exception {
-    Path folder = voted("v0", 1);
-    VoterStore f = VoterStore.open(folder, "v0");
-    Map<String, Voter.Slot> before = new TreeMap<>(f.slots());
-    f.close(); // as if the disk had gone
-    List<Voter.VoteResult> steps =
+  public void allWritesFailAfterAFailedOne() throws Exception {
+    Path folder = createStore("v0", 1);
+    VoterStore store = VoterStore.open(folder, "v0");
+    Map<String, Voter.Slot> before = new TreeMap<>(store.slots());
+    store.close(); // makes the next write fail, as if the disk had gone
+    List<Voter.VoteResult> results =
         List.of(
             new Voter(before, 16).handle(new ConsensusMessage.Prepare(7, "r", new Ballot(7, "q"))));
-    assertThrows(IOException.class, () -> f.write(steps));
-    assertThrows(IOException.class, () -> f.write(steps));
+    assertThrows(IOException.class, () -> store.write(results));
+    assertThrows(IOException.class, () -> store.write(results));
     assertEquals(before, slots(folder, "v0"));
   }
 }
