--- a/src/test/java/umberrun/consensus/net/ConsensusCodecTest.java
+++ b/src/test/java/umberrun/consensus/net/ConsensusCodecTest.java
@@ -15,15 +15,15 @@
 import umberrun.consensus.net.ConsensusCodec.Envelope;
 
 /**
- * The bytes of the agreement: each message as it was, whatever is torn or spoilt refused, and
- * nothing else ever thrown.
+ * Encodes and decodes each kind of message. Damaged messages must be rejected with {@link
+ * IllegalArgumentException} and nothing else.
  */
 public class ConsensusCodecTest {
   private static final Ballot BALLOT = new Ballot(7, "fe-1/3");
   private static final RegisterValue VALUE = new RegisterValue(3, "5 2 3000000 fe-1");
   private static final VoterSet SET =
       VoterSet.parse("4 fe-1#a,fe-2#b,fe-3#c,fe-4#d fe-2#b fe-1#a,fe-2#b,fe-3#c");
-  private static final List<ConsensusMessage> ALL =
+  private static final List<ConsensusMessage> ALL_MESSAGES =
       List.of(
           new Read(1, "duty/beacon"),
           new ReadResult(1, BALLOT, VALUE),
@@ -41,54 +41,55 @@
           new VoterQuery(9, true, SET, List.of("fe-1", "fe-2", "fe-3")),
           new VoterDescription(9, "fe-1#a", SET, "why not"));
 
-  private static Envelope envelope(ConsensusMessage m) {
-    return new Envelope(true, 4, "fe-1#a", 99, 2, m);
+  private static Envelope envelope(ConsensusMessage message) {
+    return new Envelope(true, 4, "fe-1#a", 99, 2, message);
   }
 
   @Test
-  public void eachMessageComesAsItWas() {
+  public void messagesAreDecodedAsEncoded() {
     assertEquals(
-        "a kind of message is not tried",
+        "a kind of message is not tested",
         ConsensusMessage.class.getPermittedSubclasses().length,
-        ALL.size());
-    for (ConsensusMessage m : ALL) {
-      assertEquals(envelope(m), ConsensusCodec.read(ConsensusCodec.write(envelope(m))));
+        ALL_MESSAGES.size());
+    for (ConsensusMessage message : ALL_MESSAGES) {
+      assertEquals(
+          envelope(message), ConsensusCodec.decode(ConsensusCodec.encode(envelope(message))));
     }
   }
 
   /**
-   * Torn at each byte it is refused, or was whole but for what says nothing; with bytes that are
-   * others it is read or refused.
+   * A message truncated at any byte is rejected, or decoded as the original if only empty fields
+   * are missing. A message with changed bytes is decoded or rejected.
    */
   @Test
-  public void whatIsTornOrSpoiltIsRefused() {
+  public void truncatedAndCorruptedMessagesAreRejected() {
     Random random = new Random(1);
-    int refused = 0;
-    for (ConsensusMessage m : ALL) {
-      byte[] whole = ConsensusCodec.write(envelope(m));
-      for (int n = 0; n < whole.length; n++) {
-        byte[] torn = Arrays.copyOf(whole, n);
+    int rejected = 0;
+    for (ConsensusMessage message : ALL_MESSAGES) {
+      byte[] encoded = ConsensusCodec.encode(envelope(message));
+      for (int length = 0; length < encoded.length; length++) {
+        byte[] truncated = Arrays.copyOf(encoded, length);
         assertTrue(
-            m + " is another one of " + n + " bytes",
-            isRefused(torn)
-                || ConsensusCodec.read(torn).equals(envelope(m))); // but for its empty end
+            message + " is decoded as another message from " + length + " bytes",
+            isRejected(truncated) || ConsensusCodec.decode(truncated).equals(envelope(message)));
       }
       for (int i = 0; i < 3_000; i++) {
-        byte[] spoilt = whole.clone();
-        for (int k = random.nextInt(3); k >= 0; k--) {
-          spoilt[random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+        byte[] corrupted = encoded.clone();
+        for (int changes = random.nextInt(3); changes >= 0; changes--) {
+          corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
         }
-        refused += isRefused(spoilt) ? 1 : 0;
+        rejected += isRejected(corrupted) ? 1 : 0;
       }
     }
-    assertTrue("hardly any was refused: " + refused, refused > 10_000);
+    assertTrue("rejected too few: " + rejected, rejected > 10_000);
   }
 
-  private static boolean isRefused(byte[] bytes) {
+  private static boolean isRejected(byte[] bytes) {
     try {
-      ConsensusMessage m = ConsensusCodec.read(bytes).message();
-      if (m instanceof Outdated o) { // what a front end does with it next must not fail either
-        o.voters().keys().forEach(VoterSet::nameOf);
+      ConsensusMessage message = ConsensusCodec.decode(bytes).message();
+      // A front end parses the keys of the set next, which must not fail either.
+      if (message instanceof Outdated outdated) {
+        outdated.voters().keys().forEach(VoterSet::nameOf);
       }
       return false;
     } catch (IllegalArgumentException e) {
