--- a/src/main/java/umberrun/lease/CandidateRanking.java
+++ b/src/main/java/umberrun/lease/CandidateRanking.java
@@ -5,66 +5,75 @@
 import java.util.List;
 
 /**
- * Which front end takes a free duty. All that see the same come to the same order, and each waits
- * its turn, so that a dead holder brings no stampede; where they see different things, the register
- * lets one have it. A holder that is fit keeps its duty whoever comes, so that nothing flaps. Free
- * of I/O, threads and clocks.
+ * Ranks the front ends that may take a free duty. Front ends with the same view of the fleet
+ * compute the same order, and each waits for its turn, so that the death of a holder does not make
+ * all of them propose at once. Where views differ, the register admits only one. An eligible holder
+ * keeps its duty even if a better-ranked front end joins, which avoids flapping. Free of I/O,
+ * threads and clocks.
  */
 public final class CandidateRanking {
   /**
-   * A front end that might take a duty.
+   * A front end that may take a duty.
    *
-   * @param fit whether it takes clients, is on time and not in doubt
-   * @param duties that it holds now
+   * @param name of the front end
+   * @param hall in which it runs
+   * @param eligible whether it accepts clients, keeps up with its work and is not suspected
+   * @param duties number of duties that it holds now
    */
-  public record Candidate(String name, String hall, boolean fit, int duties) {}
+  public record Candidate(String name, String hall, boolean eligible, int duties) {}
 
   /**
-   * Those that watch for a duty to be free, in the order in which they are to take it; the rest
-   * comes up as these go.
+   * Number of best-ranked candidates that watch for a duty to become free. The others move up as
+   * these leave.
    */
   public static final int MAX_WATCHERS = 3;
 
   /**
-   * Between the turns of two: both phases of the agreement with their syncs, as the next one would
-   * disturb the one before.
+   * Time between the turns of two candidates of adjacent ranks. It covers both phases of consensus
+   * with their disk syncs: an earlier proposal by the next candidate would interrupt the one
+   * before.
    */
-  private static final long TURN = 100_000;
+  private static final long TURN_MICROS = 100_000;
 
-  private static final int MOST_TURNS = 10;
+  private static final int MAX_TURNS = 10;
 
   private CandidateRanking() {}
 
   /**
-   * The place of one among all that might take a duty, from 0; the size of the list where it is not
-   * fit.
+   * Rank of one front end among all candidates for a duty.
+   *
+   * @param duty name of the duty
+   * @param hall whose front ends are preferred, or empty for no preference
+   * @param name of the front end to rank
+   * @param all candidates, in any order
+   * @return the rank from 0, or the size of {@code all} if the front end is not eligible
    */
   public static int rank(String duty, String hall, String name, List<Candidate> all) {
-    List<Candidate> fit = new ArrayList<>(all);
-    fit.removeIf(c -> !c.fit());
-    fit.sort(
+    List<Candidate> eligible = new ArrayList<>(all);
+    eligible.removeIf(c -> !c.eligible());
+    eligible.sort(
         Comparator.comparing((Candidate c) -> !hall.isEmpty() && !c.hall().equals(hall))
             .thenComparingInt(Candidate::duties)
-            .thenComparingInt(c -> mix(duty, c.name()))
+            .thenComparingInt(c -> hash(duty, c.name()))
             .thenComparing(Candidate::name));
-    for (int i = 0; i < fit.size(); i++) {
-      if (fit.get(i).name().equals(name)) {
+    for (int i = 0; i < eligible.size(); i++) {
+      if (eligible.get(i).name().equals(name)) {
         return i;
       }
     }
     return all.size();
   }
 
-  /** What the one at a place waits once a duty is free. */
-  public static long delay(int place) {
-    return Math.min(place, MOST_TURNS) * TURN;
+  /** Microseconds that the candidate of a rank waits before it takes a free duty. */
+  public static long takeoverDelay(int rank) {
+    return Math.min(rank, MAX_TURNS) * TURN_MICROS;
   }
 
-  /** Spreads duties over names that are alike in all else. */
-  private static int mix(String duty, String name) {
-    int h = (duty + '/' + name).hashCode();
-    h ^= h >>> 16;
-    h *= 0x85ebca6b;
-    return h ^ h >>> 13;
+  /** Spreads duties over front ends that are equal in all other criteria. */
+  private static int hash(String duty, String name) {
+    int hash = (duty + '/' + name).hashCode();
+    hash ^= hash >>> 16;
+    hash *= 0x85ebca6b;
+    return hash ^ hash >>> 13;
   }
 }
--- a/src/main/java/umberrun/lease/FenceRegistry.java
+++ b/src/main/java/umberrun/lease/FenceRegistry.java
@@ -4,26 +4,29 @@
 import java.util.Map;
 
 /**
- * What whoever receives acts remembers: the highest fence of each duty. After a start it takes no
- * act until it has read the duty's register: each act that was ever taken came after its fence
- * stood there, so that no act of a lower fence is taken after a restart either, without a disk.
- * Free of I/O.
+ * Highest fencing token of each duty, as a receiver of acts remembers it. After a restart the
+ * receiver accepts no act of a duty until it has read the duty's register. A holder writes its
+ * fence there before it acts, so the register is at least as high as the fence of any act accepted
+ * before: acts of a lower fence stay refused after a restart, without a disk. Free of I/O.
  */
 public final class FenceRegistry {
-  private final Map<String, Long> highest = new HashMap<>();
+  private final Map<String, Long> highestFences = new HashMap<>();
 
-  /** The register of a duty was read, and has this fence. */
+  /** Records the fence that was read from the register of a duty. */
   public void observe(String duty, long fence) {
-    highest.merge(duty, fence, Math::max);
+    highestFences.merge(duty, fence, Math::max);
   }
 
-  /** Whether an act may be taken; if so none of a lower fence may any more. */
+  /**
+   * Returns whether an act under this fence may be accepted. If so, acts of a lower fence are
+   * refused from now on.
+   */
   public boolean accept(String duty, long fence) {
-    Long known = highest.get(duty);
-    if (known == null || fence < known) {
+    Long highest = highestFences.get(duty);
+    if (highest == null || fence < highest) {
       return false;
     }
-    highest.put(duty, fence);
+    highestFences.put(duty, fence);
     return true;
   }
 }
--- a/src/main/java/umberrun/lease/HallHealthMonitor.java
+++ b/src/main/java/umberrun/lease/HallHealthMonitor.java
@@ -9,153 +9,174 @@
 import java.util.Set;
 
 /**
- * Asks the workers of a hall in turn, for all front ends, and judges them by their answers: who is
- * silent or gone, who is much slower than the others, and who is back. Free of I/O, threads and
- * clocks; times are in microseconds.
+ * Schedules the probes of a hall's workers on behalf of all front ends and judges each worker by
+ * the results: whether it is failing, much slower than the others, or has recovered. Free of I/O,
+ * threads and clocks; times are in microseconds.
  */
 public final class HallHealthMonitor {
   /**
-   * What was seen of a worker.
+   * Health of a worker as of its last probe.
    *
-   * @param latencyRatio its time over the usual
-   * @param failureRate share of bad outcomes: 0 or 1 here
-   * @param seenAt when it was asked, as it was so then at the latest
+   * @param worker name of the worker
+   * @param latencyRatio its probe latency over the median of the hall; 1 unless it is slow
+   * @param failureRate share of failures: 1 if the worker is failing, else 0
+   * @param seenAt when the probe was sent; the reading is never older than this
    */
   public record HealthReading(
       String worker, double latencyRatio, double failureRate, long seenAt) {}
 
-  /** What is known of one worker. */
-  private static final class Seen {
-    private long askedAt;
-    private boolean asking;
+  /** Probe history of one worker. */
+  private static final class WorkerHealth {
+    private long probedAt;
+    private boolean probePending;
     private int misses;
-    private double took;
+    private double averageLatency;
     private int answers;
     private boolean failing;
     private boolean slow;
     private long seenAt;
-    private boolean news;
+    private boolean changed;
   }
 
-  /** Unanswered in a row that make a worker a failing one: one may be a lost connection. */
-  static final int MISSES = 2;
+  /** Consecutive misses that make a worker failing; a single one may be a lost connection. */
+  static final int FAILING_MISSES = 2;
 
-  /** A worker whose answers take so many times the usual is slow, and well again below so many. */
-  private static final double SLOW = 3;
+  /** Latency ratio above which a worker becomes slow. */
+  private static final double SLOW_RATIO = 3;
 
-  private static final double WELL = 1.8;
-  private static final int ANSWERS = 4;
-  private static final double STEP = 0.3;
+  /** Latency ratio at or below which a slow worker has recovered. */
+  private static final double RECOVERED_RATIO = 1.8;
 
-  /** Differences below this are the network's, not a worker's. */
-  private static final double LEAST_TOOK = 2_000;
+  /** Consecutive answers that are needed before a worker may be judged slow. */
+  private static final int MIN_ANSWERS = 4;
 
-  private final long every;
-  private final Map<String, Seen> workers = new HashMap<>();
+  /** Weight of the newest probe in the moving average of the latency. */
+  private static final double SMOOTHING = 0.3;
+
+  /** Latencies below this differ because of the network, not because of the worker. */
+  private static final double MIN_LATENCY_MICROS = 2_000;
+
+  private final long probeInterval;
+  private final Map<String, WorkerHealth> workers = new HashMap<>();
 
   /**
-   * @param every between two questions to one worker
+   * @param probeInterval microseconds between two probes of one worker
    */
-  public HallHealthMonitor(long every) {
-    this.every = every;
+  public HallHealthMonitor(long probeInterval) {
+    this.probeInterval = probeInterval;
   }
 
   /**
-   * Whom to ask now: each that may get work, once in a while, and not twice at a time. Others are
-   * forgotten.
+   * Selects the workers to probe now: those whose interval has passed and that have no probe
+   * pending. The caller must report each result to {@link #recordProbe}.
+   *
+   * @param ready all workers that may get work; any other worker is forgotten
    */
   public List<String> workersToProbe(long now, Collection<String> ready) {
-    Set<String> gone = new HashSet<>(workers.keySet());
-    gone.removeAll(Set.copyOf(ready));
-    workers.keySet().removeAll(gone);
-    List<String> asked = new ArrayList<>();
+    Set<String> removed = new HashSet<>(workers.keySet());
+    removed.removeAll(Set.copyOf(ready));
+    workers.keySet().removeAll(removed);
+    List<String> toProbe = new ArrayList<>();
     int i = 0;
     for (String name : ready) {
-      Seen s = workers.get(name);
-      if (s == null) { // spread over the time between two questions
-        s = new Seen();
-        s.askedAt = now - every + every * i / ready.size();
-        workers.put(name, s);
+      WorkerHealth health = workers.get(name);
+      if (health == null) {
+        health = new WorkerHealth();
+        // Spreads the first probes over one interval.
+        health.probedAt = now - probeInterval + probeInterval * i / ready.size();
+        workers.put(name, health);
       }
       i++;
-      if (!s.asking && now - s.askedAt >= every) {
-        s.asking = true;
-        s.askedAt = now;
-        asked.add(name);
+      if (!health.probePending && now - health.probedAt >= probeInterval) {
+        health.probePending = true;
+        health.probedAt = now;
+        toProbe.add(name);
       }
     }
-    return asked;
+    return toProbe;
   }
 
-  /** A question is over. */
-  public void recordProbe(String worker, long took, boolean alive) {
-    Seen s = workers.get(worker);
-    if (s == null || !s.asking) {
-      return; // it went meanwhile
+  /**
+   * Records the result of a probe. Ignored for a worker that was removed meanwhile.
+   *
+   * @param latency microseconds until the probe ended
+   * @param alive whether the worker answered
+   */
+  public void recordProbe(String worker, long latency, boolean alive) {
+    WorkerHealth health = workers.get(worker);
+    if (health == null || !health.probePending) {
+      return;
     }
-    s.asking = false;
-    boolean failed = s.failing;
-    boolean wasSlow = s.slow;
+    health.probePending = false;
+    boolean wasFailing = health.failing;
+    boolean wasSlow = health.slow;
     if (alive) {
-      s.misses = 0;
-      s.failing = false;
-      s.took = s.answers == 0 ? took : s.took + STEP * (took - s.took);
-      s.answers = Math.min(ANSWERS, s.answers + 1);
-      double pace = pace(s);
-      s.slow = s.answers >= ANSWERS && (s.slow ? pace > WELL : pace > SLOW);
+      health.misses = 0;
+      health.failing = false;
+      health.averageLatency =
+          health.answers == 0
+              ? latency
+              : health.averageLatency + SMOOTHING * (latency - health.averageLatency);
+      health.answers = Math.min(MIN_ANSWERS, health.answers + 1);
+      double ratio = latencyRatio(health);
+      health.slow =
+          health.answers >= MIN_ANSWERS
+              && (health.slow ? ratio > RECOVERED_RATIO : ratio > SLOW_RATIO);
     } else {
-      s.misses++;
-      s.failing = s.misses >= MISSES;
-      s.answers = 0;
-      s.slow = false;
+      health.misses++;
+      health.failing = health.misses >= FAILING_MISSES;
+      health.answers = 0;
+      health.slow = false;
     }
-    s.seenAt = s.askedAt;
-    s.news |= s.failing != failed || s.slow != wasSlow;
+    health.seenAt = health.probedAt;
+    health.changed |= health.failing != wasFailing || health.slow != wasSlow;
   }
 
-  private double pace(Seen s) {
-    double[] all =
+  private double latencyRatio(WorkerHealth health) {
+    double[] latencies =
         workers.values().stream()
-            .filter(o -> o.answers > 0)
-            .mapToDouble(o -> o.took)
+            .filter(other -> other.answers > 0)
+            .mapToDouble(other -> other.averageLatency)
             .sorted()
             .toArray();
-    return all.length == 0
+    return latencies.length == 0
         ? 1
-        : Math.max(LEAST_TOOK, s.took) / Math.max(LEAST_TOOK, all[all.length / 2]);
+        : Math.max(MIN_LATENCY_MICROS, health.averageLatency)
+            / Math.max(MIN_LATENCY_MICROS, latencies[latencies.length / 2]);
   }
 
-  /** What has changed since it was asked for last. */
+  /** Readings of the workers whose judgement has changed since the last call. */
   public List<HealthReading> changes() {
-    List<HealthReading> out = new ArrayList<>();
+    List<HealthReading> changed = new ArrayList<>();
     workers.forEach(
-        (name, s) -> {
-          if (s.news) {
-            s.news = false;
-            out.add(reading(name, s));
+        (name, health) -> {
+          if (health.changed) {
+            health.changed = false;
+            changed.add(reading(name, health));
           }
         });
-    return out;
+    return changed;
   }
 
-  /** What is known now of all that were asked. */
+  /** Current readings of all workers that answered their last probe or are failing. */
   public List<HealthReading> readings() {
-    List<HealthReading> out = new ArrayList<>();
+    List<HealthReading> readings = new ArrayList<>();
     workers.forEach(
-        (name, s) -> {
-          if (s.seenAt > 0 && (s.answers > 0 || s.failing)) {
-            out.add(reading(name, s));
+        (name, health) -> {
+          if (health.seenAt > 0 && (health.answers > 0 || health.failing)) {
+            readings.add(reading(name, health));
           }
         });
-    return out;
+    return readings;
   }
 
-  private HealthReading reading(String name, Seen s) {
-    return new HealthReading(name, s.slow ? pace(s) : 1, s.failing ? 1 : 0, s.seenAt);
+  private HealthReading reading(String name, WorkerHealth health) {
+    return new HealthReading(
+        name, health.slow ? latencyRatio(health) : 1, health.failing ? 1 : 0, health.seenAt);
   }
 
-  /** Workers held to fail now. */
+  /** Number of workers that are failing now. */
   public long failingCount() {
-    return workers.values().stream().filter(s -> s.failing).count();
+    return workers.values().stream().filter(health -> health.failing).count();
   }
 }
--- a/src/main/java/umberrun/lease/LeaseElector.java
+++ b/src/main/java/umberrun/lease/LeaseElector.java
@@ -6,82 +6,101 @@
 import umberrun.consensus.RegisterValue;
 
 /**
- * One front end's part in one duty: watches who holds it, takes it when it is free, renews it,
- * gives it back. Free of I/O, threads and clocks; times are in microseconds of the own steady
- * clock. The argument for its safety is in {@code docs/leases.md}.
+ * Leader election of one front end for one duty: watches the duty's register, takes the lease when
+ * it is free, renews it and gives it back. Free of I/O, threads and clocks; times are in
+ * microseconds of the local monotonic clock.
+ *
+ * <p>At most one front end may act at a time. A holder counts its lease from before it requested
+ * the change, shortened by the clock drift bound. The others count it from when they first saw that
+ * version, lengthened by the same bound, so the holder stops before anybody else takes the duty.
+ * Each change applies only to the version that was seen, and each take raises the fence.
  */
 public class LeaseElector {
   /**
-   * Figures of all duties.
+   * Timing that all duties share.
    *
-   * @param length of a lease
-   * @param clockDrift by how much a clock may run fast or slow, as a part
-   * @param takeoverPause added to the time that others wait; not needed for safety, it spares a
-   *     holder that is late by less
-   * @param requestTimeout until a change is given up
+   * @param length of a lease, in microseconds
+   * @param clockDrift bound on how much faster or slower than real time a clock may run, as a
+   *     fraction
+   * @param takeoverPause added to the time that other front ends wait, in microseconds. Not needed
+   *     for safety: a holder that is late by less than this keeps its duty
+   * @param requestTimeout after which a read or a change is given up, in microseconds
    */
   public record Settings(long length, double clockDrift, long takeoverPause, long requestTimeout) {}
 
-  /** What a claimant wants done. */
+  /** Requests of the elector to whoever runs it. */
   public interface Outbox {
-    /** Has the register read; {@code onRegisterResult} is owed for it. */
+    /**
+     * Reads the register, until the given time at the latest; the result must be passed to {@link
+     * LeaseElector#onRegisterResult}.
+     */
     void read(long until);
 
-    /** Has the register changed; {@code onRegisterResult} is owed for it. */
+    /**
+     * Changes the register, until the given time at the latest; the result must be passed to {@link
+     * LeaseElector#onRegisterResult}.
+     */
     void propose(Change change, long until);
 
-    /** Starts the one wait, in the place of the one before. */
+    /** Starts the only timer, replacing the one before. */
     void startTimer(long at);
 
-    /** Holds it from now on under this fence, or no longer (-1). */
+    /** The duty is now held under this fence, or no longer held (-1). */
     void onFenceChange(long fence, String cause);
   }
 
-  /** A change of the version that was seen, which does nothing to any other. */
-  private static final class Step implements Change {
+  /** A change of the version that was seen; it leaves any other version as it is. */
+  private static final class VersionedChange implements Change {
     final long version;
     final UnaryOperator<Lease> change;
 
-    /** Whether it made a new version at its last try. */
-    boolean made;
+    /** Whether the last attempt made a new version. */
+    boolean applied;
 
-    Step(long version, UnaryOperator<Lease> change) {
+    VersionedChange(long version, UnaryOperator<Lease> change) {
       this.version = version;
       this.change = change;
     }
 
     @Override
-    public RegisterValue apply(RegisterValue v) {
-      made = v.version() == version;
-      return made ? v.withText(change.apply(Lease.parse(v)).text()) : v;
+    public RegisterValue apply(RegisterValue value) {
+      applied = value.version() == version;
+      return applied ? value.withText(change.apply(Lease.parse(value)).text()) : value;
     }
   }
 
-  private static final int RENEW_PART = 3;
+  private static final int RENEWALS_PER_LEASE = 3;
 
   /**
-   * Lengths between two looks of one that does not watch: it takes what nobody takes all the same.
+   * Lease lengths between two reads by a front end that does not watch the duty. It still reads now
+   * and then, so that a duty that no watcher takes is taken in the end.
    */
-  private static final int FAR = 3;
+  private static final int IDLE_READ_LEASES = 3;
+
+  private static final long MIN_READ_DELAY_MICROS = 1_000;
 
   private final Settings settings;
   private final String name;
   private final long startId;
   private final RandomGenerator random;
   private final Outbox out;
-  private RegisterValue lastLease = RegisterValue.NONE;
+  private RegisterValue lastValue = RegisterValue.NONE;
   private long lastChangedAt;
   private boolean known;
-  private boolean setEligible = true;
-  private boolean close = true;
-  private long delay;
-  private long freeSince;
-  private boolean asking;
-  private long askedAt;
-  private Step step;
+  private boolean eligible = true;
+  private boolean watching = true;
+  private long takeoverDelay;
+  private long vacantSince;
+  private boolean requestPending;
+  private long requestedAt;
+  private VersionedChange pendingChange;
   private long fence = -1;
-  private long holdsUntil;
+  private long heldUntil;
 
+  /**
+   * @param name of this front end
+   * @param startId of this process
+   */
   public LeaseElector(
       Settings settings, String name, long startId, RandomGenerator random, Outbox out) {
     this.settings = settings;
@@ -91,241 +110,259 @@
     this.out = out;
   }
 
-  /** Begins to watch. */
+  /** Reads the register for the first time. */
   public void start(long now) {
-    if (!asking) {
-      watch(now);
+    if (!requestPending) {
+      readRegister(now);
     }
   }
 
-  /** Whether this front end should have the duty; one that should not gives it back. */
-  public void setEligible(long now, boolean should) {
-    setEligible = should;
-    if (!should && fence >= 0) {
-      fence = -1; // first of all it no longer acts
+  /**
+   * Sets whether this front end may hold the duty. A holder that becomes ineligible stops acting
+   * before it gives the duty back.
+   */
+  public void setEligible(long now, boolean eligible) {
+    this.eligible = eligible;
+    if (!eligible && fence >= 0) {
+      fence = -1;
       out.onFenceChange(-1, "given back");
       out.startTimer(now);
     }
   }
 
   /**
-   * How this front end stands for the duty while it does not hold it.
+   * Sets the priority of this front end among the candidates while it does not hold the duty.
    *
-   * @param close whether it watches for the duty to be free; others look now and then
-   * @param delay waited once it is free, so that those who are to have it before this one come
-   *     first
+   * @param watching whether it watches for the duty to become free; otherwise it reads the register
+   *     only now and then
+   * @param takeoverDelay time it waits once the duty is free, so that candidates of a higher
+   *     priority come first
    */
-  public void setPriority(long now, boolean close, long delay) {
-    boolean comes = close && !this.close;
-    this.close = close;
-    this.delay = delay;
-    if (comes && known) {
+  public void setPriority(long now, boolean watching, long takeoverDelay) {
+    boolean startsWatching = watching && !this.watching;
+    this.watching = watching;
+    this.takeoverDelay = takeoverDelay;
+    if (startsWatching && known) {
       refresh(now);
     }
   }
 
   /**
-   * Somebody says that the duty may be free: it is looked at now, and taken only where that is so.
+   * Reads the register now, on a hint that the duty may be free. The hint alone never lets it take
+   * the duty.
    */
   public void refresh(long now) {
-    if (!asking && fence < 0) {
-      watch(now);
+    if (!requestPending && fence < 0) {
+      readRegister(now);
     }
   }
 
-  /** What the register was seen to hold last. */
+  /** The lease that the register held when it was last seen. */
   public Lease lastLease() {
-    return Lease.parse(lastLease);
+    return Lease.parse(lastValue);
   }
 
-  /** Whether it was seen at all. */
+  /** Whether the register was seen at all. */
   public boolean isKnown() {
     return known;
   }
 
-  /** When that version was seen first. */
+  /** When the version of {@link #lastLease} was first seen. */
   public long lastChangedAt() {
     return lastChangedAt;
   }
 
-  /** For how long nobody had the duty before this one took it, as far as it knows. */
+  /** How long nobody held the duty before this front end took it, as far as it knows. */
   public long vacancy(long now) {
-    return Math.max(0, now - freeSince);
+    return Math.max(0, now - vacantSince);
   }
 
-  /** For how long it still holds without a renewal. */
+  /** How long the lease is still valid without a renewal; 0 if it is not held. */
   public long remaining(long now) {
-    return fence >= 0 ? Math.max(0, holdsUntil - now) : 0;
+    return fence >= 0 ? Math.max(0, heldUntil - now) : 0;
   }
 
   /**
-   * The fence under which it may act at this moment, or -1. To be asked at the moment of each act.
+   * The fence under which this front end may act right now, or -1 if it may not. Must be called at
+   * the moment of each act.
    */
   public long activeFence(long now) {
-    return fence >= 0 && now < holdsUntil ? fence : -1;
+    return fence >= 0 && now < heldUntil ? fence : -1;
   }
 
-  /** Its wait is over. */
+  /** Must be called when the timer has expired. */
   public void onTimer(long now) {
-    if (asking) {
+    if (requestPending) {
       return;
     }
-    if (fence >= 0 && now >= holdsUntil) {
+    if (fence >= 0 && now >= heldUntil) {
       fence = -1;
       out.onFenceChange(-1, "not renewed in time");
     }
-    Lease l = Lease.parse(lastLease);
+    Lease lease = Lease.parse(lastValue);
     if (fence >= 0) {
-      ask(now, UnaryOperator.identity()); // the same under the next version
-    } else if (l.isHeldBy(name, startId) && !setEligible) {
-      ask(now, held -> new Lease("", 0, held.fence(), 0));
-    } else if (setEligible && known && (l.isHeldBy(name, startId) || now >= takeAt(l))) {
-      freeSince = l.isHeld() ? lastChangedAt + l.length() : lastChangedAt;
-      ask(now, this::taken);
+      // A renewal is the same lease under the next version.
+      proposeChange(now, UnaryOperator.identity());
+    } else if (lease.isHeldBy(name, startId) && !eligible) {
+      proposeChange(now, held -> new Lease("", 0, held.fence(), 0));
+    } else if (eligible && known && (lease.isHeldBy(name, startId) || now >= takeoverTime(lease))) {
+      vacantSince = lease.isHeld() ? lastChangedAt + lease.length() : lastChangedAt;
+      proposeChange(now, this::nextLease);
     } else {
-      watch(now);
+      readRegister(now);
     }
   }
 
   /**
-   * Goes on where another of the same process is, for explorers; the change that it now waits for,
-   * or null.
+   * Copies the state of another elector of the same process, for model checkers.
+   *
+   * @return the copy of the change whose result is awaited, or null
    */
-  public Change copyStateFrom(LeaseElector o) {
-    lastLease = o.lastLease;
-    lastChangedAt = o.lastChangedAt;
-    known = o.known;
-    setEligible = o.setEligible;
-    close = o.close;
-    delay = o.delay;
-    freeSince = o.freeSince;
-    asking = o.asking;
-    askedAt = o.askedAt;
-    if (o.step != null) {
-      step = new Step(o.step.version, o.step.change);
-      step.made = o.step.made;
+  public Change copyStateFrom(LeaseElector other) {
+    lastValue = other.lastValue;
+    lastChangedAt = other.lastChangedAt;
+    known = other.known;
+    eligible = other.eligible;
+    watching = other.watching;
+    takeoverDelay = other.takeoverDelay;
+    vacantSince = other.vacantSince;
+    requestPending = other.requestPending;
+    requestedAt = other.requestedAt;
+    if (other.pendingChange != null) {
+      pendingChange = new VersionedChange(other.pendingChange.version, other.pendingChange.change);
+      pendingChange.applied = other.pendingChange.applied;
     }
-    fence = o.fence;
-    holdsUntil = o.holdsUntil;
-    return step;
+    fence = other.fence;
+    heldUntil = other.heldUntil;
+    return pendingChange;
   }
 
   /**
-   * All that decides what it does next, with times as they are from {@code now} on, by which
-   * explorers tell states apart.
+   * Everything that decides the further behaviour, with times relative to {@code now}, by which
+   * model checkers tell states apart.
    */
   public String stateText(long now) {
     return fence
         + " "
         + remaining(now)
         + " "
-        + lastLease
+        + lastValue
         + " "
         + (known ? lastChangedAt - now : 0)
         + " "
-        + setEligible
-        + close
-        + delay
+        + eligible
+        + watching
+        + takeoverDelay
         + " "
-        + (asking ? now - askedAt : -1)
-        + (step == null ? "" : step.version + " " + step.made);
+        + (requestPending ? now - requestedAt : -1)
+        + (pendingChange == null ? "" : pendingChange.version + " " + pendingChange.applied);
   }
 
-  private long takeAt(Lease l) {
-    return (l.isHeld() ? expiresAt(l) : lastChangedAt) + delay;
+  private long takeoverTime(Lease lease) {
+    return (lease.isHeld() ? expiresAt(lease) : lastChangedAt) + takeoverDelay;
   }
 
-  /** From when on the version that was seen is surely no longer held. */
-  protected long expiresAt(Lease l) {
+  /** When the version that was seen has certainly expired, unless its holder renewed it. */
+  protected long expiresAt(Lease lease) {
     return lastChangedAt
-        + (long) (l.length() * (1 + settings.clockDrift()))
+        + (long) (lease.length() * (1 + settings.clockDrift()))
         + settings.takeoverPause();
   }
 
   /**
-   * Whether an own lease that a change found counts from when that change was asked for: only where
-   * it was made by it. One that was made by an earlier change others may have seen before.
+   * Whether an own lease found in a request's result is valid from the time of that request. That
+   * holds only if this request wrote it: others may have seen a lease of an earlier request before.
+   *
+   * @param applied whether the request wrote the value that was found
    */
-  protected boolean isOwnLeaseValid(boolean madeNow) {
-    return madeNow;
+  protected boolean isOwnLeaseValid(boolean applied) {
+    return applied;
   }
 
-  /** From when on the length of a lease counts: from before it was asked for. */
-  protected long leaseStart(long asked, long answered) {
-    return asked;
+  /** Start of the lease's length: the time of the request, which precedes its effect. */
+  protected long leaseStart(long requestedAt, long answeredAt) {
+    return requestedAt;
   }
 
-  private Lease taken(Lease l) {
-    return new Lease(name, startId, l.fence() + 1, settings.length());
+  private Lease nextLease(Lease previous) {
+    return new Lease(name, startId, previous.fence() + 1, settings.length());
   }
 
-  private void ask(long now, UnaryOperator<Lease> change) {
-    begin(now, new Step(lastLease.version(), change));
-    out.propose(step, now + settings.requestTimeout());
+  private void proposeChange(long now, UnaryOperator<Lease> change) {
+    beginRequest(now, new VersionedChange(lastValue.version(), change));
+    out.propose(pendingChange, now + settings.requestTimeout());
   }
 
-  private void watch(long now) {
-    begin(now, null);
+  private void readRegister(long now) {
+    beginRequest(now, null);
     out.read(now + settings.requestTimeout());
   }
 
-  private void begin(long now, Step what) {
-    asking = true;
-    askedAt = now;
-    step = what;
+  private void beginRequest(long now, VersionedChange change) {
+    requestPending = true;
+    requestedAt = now;
+    pendingChange = change;
   }
 
-  /** A change is over: what the register held then, or null where that is not known. */
-  public void onRegisterResult(long now, RegisterValue v) {
-    asking = false;
-    if (v == null
-        || !isLease(
-            v)) { // what was seen, and when, still holds: if it was replaced, its version is
-      // another by now
-      rest(now, settings.length() / RENEW_PART / 2);
+  /**
+   * Must be called when a read or a change has ended.
+   *
+   * @param value what the register held then, or null if that is not known
+   */
+  public void onRegisterResult(long now, RegisterValue value) {
+    requestPending = false;
+    if (value == null || !isLease(value)) {
+      // The last value and its time stay usable: if the value was replaced, its version differs.
+      startTimer(now, settings.length() / RENEWALS_PER_LEASE / 2);
       return;
     }
-    boolean news = !known || v.version() != lastLease.version();
-    if (news) {
-      lastLease = v;
+    boolean changed = !known || value.version() != lastValue.version();
+    if (changed) {
+      lastValue = value;
       lastChangedAt = now;
       known = true;
     }
-    Lease l = Lease.parse(v);
-    if (l.isHeldBy(name, startId) && setEligible && isOwnLeaseValid(step != null && step.made)) {
-      holdsUntil =
-          leaseStart(askedAt, now) + (long) (settings.length() * (1 - settings.clockDrift()));
-      if (fence != l.fence()) {
-        fence = l.fence();
+    Lease lease = Lease.parse(value);
+    if (lease.isHeldBy(name, startId)
+        && eligible
+        && isOwnLeaseValid(pendingChange != null && pendingChange.applied)) {
+      heldUntil =
+          leaseStart(requestedAt, now) + (long) (settings.length() * (1 - settings.clockDrift()));
+      if (fence != lease.fence()) {
+        fence = lease.fence();
         out.onFenceChange(fence, "taken");
       }
-      rest(now, settings.length() / RENEW_PART);
-    } else if (l.isHeldBy(name, startId)) {
-      rest(
-          now,
-          0); // of a change whose answer was lost: it counts from nobody knows when, so that it is
-      // renewed or given back
+      startTimer(now, settings.length() / RENEWALS_PER_LEASE);
+    } else if (lease.isHeldBy(name, startId)) {
+      // Written by a change whose answer was lost: its start is unknown, so it is renewed, taken
+      // anew or given back at once.
+      startTimer(now, 0);
     } else {
       if (fence >= 0) {
         fence = -1;
         out.onFenceChange(-1, "another holds it");
       }
-      long most = close ? settings.length() / RENEW_PART : FAR * settings.length();
-      rest(now, close ? Math.max(1_000, Math.min(most, takeAt(l) - now)) / 2 : most);
+      long maxDelay =
+          watching ? settings.length() / RENEWALS_PER_LEASE : IDLE_READ_LEASES * settings.length();
+      startTimer(
+          now,
+          watching
+              ? Math.max(MIN_READ_DELAY_MICROS, Math.min(maxDelay, takeoverTime(lease) - now)) / 2
+              : maxDelay);
     }
   }
 
-  /** Guards against what was written by none of us: of such a register nobody takes anything. */
-  private static boolean isLease(RegisterValue v) {
+  /** False for a value that no elector wrote; nobody takes the duty of such a register. */
+  private static boolean isLease(RegisterValue value) {
     try {
-      return Lease.parse(v) != null;
+      return Lease.parse(value) != null;
     } catch (IllegalArgumentException e) {
       return false;
     }
   }
 
-  /** Waits for between one and one and a half of a time, so that many do not ask at one moment. */
-  private void rest(long now, long time) {
-    out.startTimer(now + (long) (time * (1 + random.nextDouble() / 2)));
+  /** Waits 1 to 1.5 times the delay, so that front ends do not all send at the same moment. */
+  private void startTimer(long now, long delay) {
+    out.startTimer(now + (long) (delay * (1 + random.nextDouble() / 2)));
   }
 }
--- a/src/main/java/umberrun/lease/net/DutyRunner.java
+++ b/src/main/java/umberrun/lease/net/DutyRunner.java
@@ -7,6 +7,7 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import umberrun.consensus.Proposer;
+import umberrun.consensus.RegisterValue;
 import umberrun.consensus.net.RegisterManager;
 import umberrun.core.Clock;
 import umberrun.lease.FenceRegistry;
@@ -17,50 +18,55 @@
 import umberrun.stats.EventLog;
 
 /**
- * One duty in a front end: its claimant, carried over a way of its own to the registers, and what
- * is done while it is held.
+ * Runs one duty in a front end: drives its {@link LeaseElector} with timers and a register client
+ * of its own, and starts and stops the duty's task as the lease is taken and lost.
  */
 public final class DutyRunner implements LeaseElector.Outbox {
-  /** What the holder does. */
+  /** The work of a duty, done by its holder. */
   public interface DutyTask {
     /**
-     * Held from now on; {@code mayAct} gives the fence, or -1, and is asked at the moment of each
-     * act.
+     * Starts the work; the duty is held from now on.
+     *
+     * @param activeFence gives the fence under which the task may act right now, or -1 if it may
+     *     not; must be called at the moment of each act
      */
-    void start(LongSupplier mayAct);
+    void start(LongSupplier activeFence);
 
+    /** Stops the work; the duty is no longer held. */
     void stop();
   }
 
-  private static final String REGISTER = "duty/";
-  private static final long MS = 1_000;
+  private static final String REGISTER_PREFIX = "duty/";
+  private static final long MICROS_PER_MILLI = 1_000;
 
   final String name;
   final String hall;
-  final LeaseElector claimant;
+  final LeaseElector elector;
   private final Vertx vertx;
   private final Clock clock;
   private final Counters counters;
   private final EventLog journal;
-  private final RegisterManager.RegisterClient way;
+  private final RegisterManager.RegisterClient registerClient;
   private final FenceRegistry fences;
-  private final DutyTask work;
-  private final Consumer<Boolean> told;
+  private final DutyTask task;
+  private final Consumer<Boolean> onHolderChange;
   private long timer = -1;
   private long fence = -1;
-  private long since;
+  private long fenceChangedAt;
 
-  /** An operator had it given back: somebody else is to have it first. */
-  private long restsUntil;
+  /** After a release on request this front end leaves the duty to others until then. */
+  private long ineligibleUntil;
 
-  private boolean fit;
+  private boolean eligible;
 
-  /** Who gave it back lately, and until when others come first. */
-  private final Map<String, Long> resting = new LinkedHashMap<>();
+  /** Front ends that gave the duty back lately, and until when they leave it to others. */
+  private final Map<String, Long> abstainingUntil = new LinkedHashMap<>();
 
   /**
-   * @param hall that it concerns, or empty
-   * @param told is told when it was taken (true) or given back, so that others may look at once
+   * @param hall that the duty is for, or empty if it is for none
+   * @param onHolderChange called when this front end has taken the duty (true) or given it back
+   *     (false), so that it can notify the others
+   * @param makeElector creates the elector, with this runner as its outbox
    */
   DutyRunner(
       String name,
@@ -69,101 +75,117 @@
       Clock clock,
       Counters counters,
       EventLog journal,
-      RegisterManager.RegisterClient way,
+      RegisterManager.RegisterClient registerClient,
       FenceRegistry fences,
-      DutyTask work,
-      Consumer<Boolean> told,
-      Function<LeaseElector.Outbox, LeaseElector> claimant) {
+      DutyTask task,
+      Consumer<Boolean> onHolderChange,
+      Function<LeaseElector.Outbox, LeaseElector> makeElector) {
     this.name = name;
     this.hall = hall;
     this.vertx = vertx;
     this.clock = clock;
     this.counters = counters;
     this.journal = journal;
-    this.way = way;
+    this.registerClient = registerClient;
     this.fences = fences;
-    this.work = work;
-    this.told = told;
-    this.claimant = claimant.apply(this);
+    this.task = task;
+    this.onHolderChange = onHolderChange;
+    this.elector = makeElector.apply(this);
   }
 
   boolean isHeld() {
     return fence >= 0;
   }
 
-  /** Whether this front end should have it, and how it stands for it. */
-  void stand(boolean should, boolean close, long delay) {
+  /**
+   * Updates the standing of this front end among the candidates.
+   *
+   * @param mayHold whether it may hold the duty
+   * @param watching see {@link LeaseElector#setPriority}
+   * @param takeoverDelay see {@link LeaseElector#setPriority}
+   */
+  void updateCandidacy(boolean mayHold, boolean watching, long takeoverDelay) {
     long now = clock.now();
-    claimant.setPriority(now, close, delay);
-    boolean next = should && now >= restsUntil;
-    if (next != fit) {
-      fit = next;
-      claimant.setEligible(now, next);
+    elector.setPriority(now, watching, takeoverDelay);
+    boolean nowEligible = mayHold && now >= ineligibleUntil;
+    if (nowEligible != eligible) {
+      eligible = nowEligible;
+      elector.setEligible(now, nowEligible);
     }
   }
 
-  /** Somebody says that it has changed hands; {@code given} where it was given back. */
-  void changedHands(String by, boolean given, long rest) {
+  /**
+   * Handles the message of another front end that it has taken the duty or given it back.
+   *
+   * @param released whether it gave the duty back
+   * @param abstainMicros how long a front end that gave the duty back leaves it to others
+   */
+  void onRemoteHolderChange(String from, boolean released, long abstainMicros) {
     long now = clock.now();
-    resting.values().removeIf(until -> until <= now);
-    if (given) {
-      resting.put(by, now + rest);
+    abstainingUntil.values().removeIf(until -> until <= now);
+    if (released) {
+      abstainingUntil.put(from, now + abstainMicros);
     }
-    claimant.refresh(now);
+    elector.refresh(now);
   }
 
-  /** Whether a front end stays out of it, by its own word. */
-  boolean rests(String who) {
-    return resting.getOrDefault(who, 0L) > clock.now();
+  /** Whether a front end has given the duty back lately and now leaves it to others. */
+  boolean isAbstaining(String frontEnd) {
+    return abstainingUntil.getOrDefault(frontEnd, 0L) > clock.now();
   }
 
-  /** Gives it back by an operator's word, and stays out of it for a while. */
-  boolean release(long rest) {
+  /**
+   * Gives the duty back and leaves it to others for a while.
+   *
+   * @return false if this front end does not hold it
+   */
+  boolean release(long abstainMicros) {
     if (!isHeld()) {
       return false;
     }
-    restsUntil = clock.now() + rest;
-    stand(false, false, 0);
+    ineligibleUntil = clock.now() + abstainMicros;
+    updateCandidacy(false, false, 0);
     return true;
   }
 
-  /** An act was refused by who has seen a greater fence: it is another's. */
-  void overtaken() {
+  /** Gives the duty back after a receiver that has seen a higher fence refused an act. */
+  void onActRefused() {
     counters.add(Count.ACTS_REFUSED);
     release(0);
   }
 
-  Lease seen() {
-    return claimant.lastLease();
+  Lease lastLease() {
+    return elector.lastLease();
   }
 
+  /** Milliseconds since this front end took the duty, or since the register was seen to change. */
   long sinceMillis() {
-    return (clock.now() - (isHeld() ? since : claimant.lastChangedAt())) / MS;
+    return (clock.now() - (isHeld() ? fenceChangedAt : elector.lastChangedAt())) / MICROS_PER_MILLI;
   }
 
   @Override
   public void read(long until) {
-    way.read(REGISTER + name, until, this::over);
+    registerClient.read(REGISTER_PREFIX + name, until, this::onRegisterResult);
   }
 
   @Override
   public void propose(Proposer.Change change, long until) {
-    way.change(REGISTER + name, change, until, this::over);
+    registerClient.change(REGISTER_PREFIX + name, change, until, this::onRegisterResult);
   }
 
-  private void over(umberrun.consensus.RegisterValue v) {
-    long before = claimant.lastLease().fence();
-    boolean held = !claimant.lastLease().holder().isEmpty();
-    if (v != null) {
-      fences.observe(name, Lease.parse(v).fence());
+  private void onRegisterResult(RegisterValue value) {
+    long fenceBefore = elector.lastLease().fence();
+    boolean heldBefore = !elector.lastLease().holder().isEmpty();
+    if (value != null) {
+      fences.observe(name, Lease.parse(value).fence());
     }
-    claimant.onRegisterResult(clock.now(), v);
-    if (v != null
-        && held
-        && Lease.parse(v).holder().isEmpty()
-        && before == Lease.parse(v).fence()
-        && !fit) {
-      told.accept(false);
+    elector.onRegisterResult(clock.now(), value);
+    if (value != null
+        && heldBefore
+        && Lease.parse(value).holder().isEmpty()
+        && fenceBefore == Lease.parse(value).fence()
+        && !eligible) {
+      onHolderChange.accept(false);
     }
   }
 
@@ -172,42 +194,43 @@
     vertx.cancelTimer(timer);
     timer =
         vertx.setTimer(
-            Math.max(1, (at - clock.now() + MS - 1) / MS), t -> claimant.onTimer(clock.now()));
+            Math.max(1, (at - clock.now() + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI),
+            t -> elector.onTimer(clock.now()));
   }
 
   @Override
-  public void onFenceChange(long to, String cause) {
+  public void onFenceChange(long newFence, String cause) {
     long now = clock.now();
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put("duty", name);
-    figures.put("fence", to >= 0 ? to : fence);
+    figures.put("fence", newFence >= 0 ? newFence : fence);
     figures.put("cause", cause);
-    if (to >= 0) {
-      figures.put("without_a_holder_ms", claimant.vacancy(now) / MS);
+    if (newFence >= 0) {
+      figures.put("without_a_holder_ms", elector.vacancy(now) / MICROS_PER_MILLI);
       counters.add(Count.LEASES_TAKEN);
     } else {
-      figures.put("held_ms", (now - since) / MS);
+      figures.put("held_ms", (now - fenceChangedAt) / MICROS_PER_MILLI);
       counters.add(cause.equals("given back") ? Count.LEASES_GIVEN_BACK : Count.LEASES_LOST);
     }
-    boolean held = isHeld();
-    fence = to;
-    since = now;
-    journal.log(to >= 0 ? "taken" : "no longer held", figures);
-    if (held) {
-      work.stop();
+    boolean wasHeld = isHeld();
+    fence = newFence;
+    fenceChangedAt = now;
+    journal.log(newFence >= 0 ? "taken" : "no longer held", figures);
+    if (wasHeld) {
+      task.stop();
     }
-    if (to >= 0) {
-      work.start(() -> claimant.activeFence(clock.now()));
-      told.accept(true);
+    if (newFence >= 0) {
+      task.start(() -> elector.activeFence(clock.now()));
+      onHolderChange.accept(true);
     }
   }
 
-  /** Stops its wait: the process ends. */
+  /** Stops the timer and the task when the process ends. */
   void close() {
     vertx.cancelTimer(timer);
     if (isHeld()) {
       fence = -1;
-      work.stop();
+      task.stop();
     }
   }
 }
--- a/src/main/java/umberrun/lease/net/FleetReporter.java
+++ b/src/main/java/umberrun/lease/net/FleetReporter.java
@@ -12,78 +12,88 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * The duty {@code beacon}: one front end at a time reports on the fleet to an address of the
- * operators', by HTTP POST with its fence. A receiver that has seen a greater fence answers 409,
- * and the duty is let go of.
+ * Task of the duty {@code beacon}: its holder periodically reports on the fleet to an address of
+ * the operators, by HTTP POST with its fence. A receiver that has seen a higher fence answers 409,
+ * and the holder gives the duty back.
  */
 final class FleetReporter implements DutyRunner.DutyTask {
-  private static final int PATIENCE_MILLIS = 1_000;
-  private static final int REFUSED = 409;
+  private static final String PATH = "/v1/beacon";
+  private static final int TIMEOUT_MILLIS = 1_000;
+  private static final int IDLE_TIMEOUT_SECONDS = 2;
+  private static final int CONFLICT = 409;
 
   private final Vertx vertx;
   private final HttpClient client;
-  private final SocketAddress to;
-  private final long every;
+  private final SocketAddress receiver;
+  private final long intervalMillis;
   private final Counters counters;
   private final Supplier<JsonObject> report;
-  private final Runnable overtaken;
+  private final Runnable onRefused;
   private long timer = -1;
-  private long seq;
+  private long sequence;
 
+  /**
+   * @param report creates the body of a report, to which the fence and a sequence number are added
+   * @param onRefused called when the receiver has seen a higher fence
+   */
   FleetReporter(
       Vertx vertx,
-      SocketAddress to,
-      long every,
+      SocketAddress receiver,
+      long intervalMillis,
       Counters counters,
       Supplier<JsonObject> report,
-      Runnable overtaken) {
+      Runnable onRefused) {
     this.vertx = vertx;
     this.client =
         vertx.createHttpClient(
-            new HttpClientOptions().setConnectTimeout(PATIENCE_MILLIS).setIdleTimeout(2));
-    this.to = to;
-    this.every = every;
+            new HttpClientOptions()
+                .setConnectTimeout(TIMEOUT_MILLIS)
+                .setIdleTimeout(IDLE_TIMEOUT_SECONDS));
+    this.receiver = receiver;
+    this.intervalMillis = intervalMillis;
     this.counters = counters;
     this.report = report;
-    this.overtaken = overtaken;
+    this.onRefused = onRefused;
   }
 
   @Override
-  public void start(LongSupplier mayAct) {
+  public void start(LongSupplier activeFence) {
     stop();
-    act(mayAct);
-    timer = vertx.setPeriodic(every, t -> act(mayAct));
+    sendReport(activeFence);
+    timer = vertx.setPeriodic(intervalMillis, t -> sendReport(activeFence));
   }
 
-  private void act(LongSupplier mayAct) {
-    JsonObject o = report.get();
-    long fence =
-        mayAct
-            .getAsLong(); // last before it goes: what the process was stopped for meanwhile counts
+  private void sendReport(LongSupplier activeFence) {
+    JsonObject body = report.get();
+    // Checked last: the process may have been suspended past its lease while the body was made.
+    long fence = activeFence.getAsLong();
     if (fence < 0) {
       return;
     }
-    o.addProperty("fence", fence);
-    o.addProperty("seq", ++seq);
+    body.addProperty("fence", fence);
+    body.addProperty("seq", ++sequence);
     counters.add(Count.LEASE_ACTS);
+    // A connection error is ignored: the operators notice that no reports arrive.
     client
-        .request(HttpMethod.POST, to.port(), to.host(), "/v1/beacon")
+        .request(HttpMethod.POST, receiver.port(), receiver.host(), PATH)
         .compose(
-            r -> {
-              if (mayAct.getAsLong() != fence) { // the connection took its time
-                r.reset();
+            request -> {
+              // The lease may have expired while the connection was made.
+              if (activeFence.getAsLong() != fence) {
+                request.reset();
                 throw new IllegalStateException("no longer held");
               }
-              return r.idleTimeout(PATIENCE_MILLIS)
+              return request
+                  .idleTimeout(TIMEOUT_MILLIS)
                   .putHeader("Content-Type", "application/json")
-                  .send(o.toString());
+                  .send(body.toString());
             })
         .onSuccess(
-            r -> {
-              if (r.statusCode() == REFUSED) {
-                overtaken.run();
+            response -> {
+              if (response.statusCode() == CONFLICT) {
+                onRefused.run();
               }
-            }); // a receiver that can't be reached is the operators' to notice: it hears nothing
+            });
   }
 
   @Override
--- a/src/main/java/umberrun/lease/net/HallProber.java
+++ b/src/main/java/umberrun/lease/net/HallProber.java
@@ -12,83 +12,91 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * The duty {@code probe/HALL}: its holder asks the hall's workers how they are, and tells all front
- * ends what it finds.
+ * Task of the duty {@code probe/HALL}: its holder probes the hall's workers and publishes their
+ * health to all front ends.
  */
 final class HallProber implements DutyRunner.DutyTask {
-  /** What has not changed is told this seldom. */
-  private static final long ALL_MICROS = 2_000_000;
+  /** Interval at which all readings are published; changes are published at once. */
+  private static final long FULL_REPORT_MICROS = 2_000_000;
 
-  private static final long MS = 1_000;
+  private static final long MICROS_PER_MILLI = 1_000;
 
-  /** Parts of the time between two questions after which it is looked whom to ask. */
-  private static final int LOOKS = 5;
+  /** How often per probe interval the prober checks which workers are due. */
+  private static final int CHECKS_PER_INTERVAL = 5;
 
   private final Vertx vertx;
   private final Clock clock;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Counters counters;
   private final int zone;
-  private final long everyMillis;
-  private final ObjLongConsumer<List<HealthReading>> tell;
-  private HallHealthMonitor watch;
+  private final long intervalMillis;
+  private final ObjLongConsumer<List<HealthReading>> publisher;
+  private HallHealthMonitor activeMonitor;
   private long timer = -1;
-  private long toldAt;
+  private long fullReportAt;
 
   /**
-   * @param tell readings to all, under a fence
+   * @param zone index of the hall
+   * @param intervalMillis between two probes of one worker
+   * @param publisher sends readings to all front ends under the given fence
    */
   HallProber(
       Vertx vertx,
       Clock clock,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Counters counters,
       int zone,
-      long everyMillis,
-      ObjLongConsumer<List<HealthReading>> tell) {
+      long intervalMillis,
+      ObjLongConsumer<List<HealthReading>> publisher) {
     this.vertx = vertx;
     this.clock = clock;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.counters = counters;
     this.zone = zone;
-    this.everyMillis = everyMillis;
-    this.tell = tell;
+    this.intervalMillis = intervalMillis;
+    this.publisher = publisher;
   }
 
   @Override
-  public void start(LongSupplier mayAct) {
+  public void start(LongSupplier activeFence) {
     stop();
-    HallHealthMonitor mine = new HallHealthMonitor(everyMillis * MS);
-    watch = mine;
-    timer = vertx.setPeriodic(Math.max(1, everyMillis / LOOKS), t -> look(mine, mayAct));
+    HallHealthMonitor monitor = new HallHealthMonitor(intervalMillis * MICROS_PER_MILLI);
+    activeMonitor = monitor;
+    timer =
+        vertx.setPeriodic(
+            Math.max(1, intervalMillis / CHECKS_PER_INTERVAL),
+            t -> probeDueWorkers(monitor, activeFence));
   }
 
-  private void look(HallHealthMonitor mine, LongSupplier mayAct) {
-    if (!owner.isKeepingUp()) {
-      return; // calls come first
+  private void probeDueWorkers(HallHealthMonitor monitor, LongSupplier activeFence) {
+    // Calls have priority over probes.
+    if (!dispatchLoop.isKeepingUp()) {
+      return;
     }
-    for (String worker : mine.workersToProbe(clock.now(), owner.readyWorkers(zone))) {
-      if (mayAct.getAsLong() < 0) {
+    for (String worker : monitor.workersToProbe(clock.now(), dispatchLoop.readyWorkers(zone))) {
+      if (activeFence.getAsLong() < 0) {
         return;
       }
       counters.add(Count.LEASE_ACTS);
-      owner.probeWorker(
+      dispatchLoop.probeWorker(
           worker,
-          (alive, took) -> {
-            mine.recordProbe(worker, took, alive);
-            tell(mine, mine.changes(), mayAct);
+          (alive, latency) -> {
+            monitor.recordProbe(worker, latency, alive);
+            publish(monitor, monitor.changes(), activeFence);
           });
     }
-    if (clock.now() - toldAt >= ALL_MICROS) {
-      toldAt = clock.now();
-      tell(mine, mine.readings(), mayAct);
+    if (clock.now() - fullReportAt >= FULL_REPORT_MICROS) {
+      fullReportAt = clock.now();
+      publish(monitor, monitor.readings(), activeFence);
     }
   }
 
-  private void tell(HallHealthMonitor mine, List<HealthReading> readings, LongSupplier mayAct) {
-    long fence = mine == watch ? mayAct.getAsLong() : -1;
+  /** Drops results of probes that were sent before the duty was lost or taken again. */
+  private void publish(
+      HallHealthMonitor monitor, List<HealthReading> readings, LongSupplier activeFence) {
+    long fence = monitor == activeMonitor ? activeFence.getAsLong() : -1;
     if (fence >= 0 && !readings.isEmpty()) {
-      tell.accept(readings, fence);
+      publisher.accept(readings, fence);
     }
   }
 
@@ -96,6 +104,6 @@
   public void stop() {
     vertx.cancelTimer(timer);
     timer = -1;
-    watch = null;
+    activeMonitor = null;
   }
 }
--- a/src/main/java/umberrun/lease/net/LeaseManager.java
+++ b/src/main/java/umberrun/lease/net/LeaseManager.java
@@ -39,8 +39,8 @@
 import umberrun.stats.EventLog;
 
 /**
- * Duties by lease in a front end: wires the registers, the duties and the fleet's listener
- * together, on the one loop.
+ * All duties of a front end: connects the registers, the duty runners and the fleet's messages, and
+ * answers operators' calls. Runs on a single event loop.
  */
 public final class LeaseManager implements FleetManager.TopicHandler {
   private static final String AGREEMENT = "agreement";
@@ -48,56 +48,68 @@
   private static final String PROBE = "probe/";
   private static final String BEACON = "beacon";
 
-  /**
-   * In a parcel: readings of a hall, a duty that changed hands (its fence 1 where it was given
-   * back), an operator's word to give one back.
-   */
+  /** Message kind: health readings of a hall's workers. */
   private static final int READINGS = 0;
 
-  private static final int LOOK = 1;
+  /** Message kind: a duty was given back (the fence field is 1) or taken (0). */
+  private static final int HOLDER_CHANGED = 1;
+
+  /** Message kind: an operator wants the holder of a duty to give it back. */
   private static final int RELEASE = 2;
-  private static final long BEAT_MILLIS = 250;
-  private static final long GIVE_BACK_MILLIS = 400;
-  private static final long MS = 1_000;
-  private static final int SOME = 2;
+
+  private static final int MESSAGE_FIELDS = 4;
+  private static final int READING_FIELDS = 4;
+  private static final long CANDIDACY_UPDATE_MILLIS = 250;
+  private static final long LEAVE_TIMEOUT_MILLIS = 400;
+  private static final long MICROS_PER_MILLI = 1_000;
+
+  /** Number of living members that are asked for the current voters. */
+  private static final int MAX_VOTER_QUERY_MEMBERS = 2;
 
   /**
-   * Readings in a parcel, so that it fits a datagram; a name is 64 characters at the most, and
-   * short in most fleets.
+   * Readings per message, so that it fits a datagram. A worker's name has up to 64 characters, but
+   * is short in most fleets.
    */
-  private static final int READINGS_A_PARCEL = 15;
+  private static final int READINGS_PER_MESSAGE = 15;
+
+  private static final int MAX_RECEIVED_READINGS = 64;
+  private static final int MAX_NAME_CHARS = 100;
 
-  private static final int MOST_READINGS = 64;
-  private static final int MOST_REGISTER_NAME = 100;
+  /** Lease lengths for which a front end that gave a duty back leaves it to others. */
+  private static final int ABSTAIN_LEASES = 2;
 
   private final Vertx vertx;
   private final Clock clock;
-  private final DispatchLoop owner;
+  private final DispatchLoop dispatchLoop;
   private final Counters counters;
   private final LeaseOptions options;
   private final FleetManager fleet;
   private final String hall;
-  private final Supplier<Lifecycle.State> state;
+  private final Supplier<Lifecycle.State> lifecycleState;
   private final EventLog journal = new EventLog("lease");
   private final FenceRegistry fences = new FenceRegistry();
   private final RegisterManager registers;
-  private final RegisterManager.RegisterClient reader;
+  private final RegisterManager.RegisterClient registerReader;
   private final Map<String, DutyRunner> duties = new LinkedHashMap<>();
   private final long startId;
   private final SplittableRandom random;
   private final LeaseElector.Settings settings;
-  private boolean began;
+  private boolean started;
   private boolean leaving;
-  private Promise<Void> givenBack;
+  private Promise<Void> dutiesReleased;
 
   /**
-   * @param halls by zone
-   * @param hall this front end's own
+   * @param fleetName name of the fleet, whose voters keep the registers
+   * @param halls names of all halls; the index of a hall is its zone
+   * @param hall in which this front end runs
+   * @param seed of the random numbers that spread retries
+   * @param lifecycleState current state; only a serving front end is a candidate
+   * @param log receives plain log lines
    */
   public LeaseManager(
       Vertx vertx,
       Clock clock,
-      DispatchLoop owner,
+      DispatchLoop dispatchLoop,
       Counters counters,
       LeaseOptions options,
       FleetManager fleet,
@@ -105,26 +117,26 @@
       List<String> halls,
       String hall,
       long seed,
-      Supplier<Lifecycle.State> state,
+      Supplier<Lifecycle.State> lifecycleState,
       Consumer<String> log) {
     this.vertx = vertx;
     this.clock = clock;
-    this.owner = owner;
+    this.dispatchLoop = dispatchLoop;
     this.counters = counters;
     this.options = options;
     this.fleet = fleet;
     this.hall = hall;
-    this.state = state;
-    this.random =
-        new SplittableRandom(
-            seed ^ System.nanoTime()); // a seed that comes again must not bring an old start id
+    this.lifecycleState = lifecycleState;
+    // The time is mixed in, because a repeated seed must not repeat the start id of an earlier
+    // process.
+    this.random = new SplittableRandom(seed ^ System.nanoTime());
     this.startId = random.nextLong() >>> 1;
     this.settings =
         new LeaseElector.Settings(
-            options.lengthMillis() * MS,
+            options.lengthMillis() * MICROS_PER_MILLI,
             options.rate(),
-            options.pauseMillis() * MS,
-            options.lengthMillis() * MS / 2);
+            options.pauseMillis() * MICROS_PER_MILLI,
+            options.lengthMillis() * MICROS_PER_MILLI / 2);
     this.registers =
         new RegisterManager(
             vertx,
@@ -146,10 +158,10 @@
                 List<String> names = new ArrayList<>();
                 fleet.peers().forEach(p -> names.add(p.claim().name()));
                 java.util.Collections.shuffle(names, new java.util.Random(random.nextLong()));
-                return names.subList(0, Math.min(SOME, names.size()));
+                return names.subList(0, Math.min(MAX_VOTER_QUERY_MEMBERS, names.size()));
               }
             });
-    this.reader = registers.newClient();
+    this.registerReader = registers.newClient();
     if (options.probeMillis() > 0) {
       for (int z = 0; z < halls.size(); z++) {
         String duty = PROBE + halls.get(z);
@@ -159,11 +171,11 @@
             new HallProber(
                 vertx,
                 clock,
-                owner,
+                dispatchLoop,
                 counters,
                 z,
                 options.probeMillis(),
-                (readings, fence) -> tell(duty, fence, readings)));
+                (readings, fence) -> publishReadings(duty, fence, readings)));
       }
     }
     if (options.beacon() != null) {
@@ -176,7 +188,7 @@
               options.beaconMillis(),
               counters,
               this::report,
-              () -> duties.get(BEACON).overtaken()));
+              () -> duties.get(BEACON).onActRefused()));
     }
     fleet.registerTopic(
         AGREEMENT,
@@ -185,7 +197,8 @@
           public void onTopicMessage(String from, byte[] body) {
             try {
               registers.receive(from, body);
-            } catch (IllegalArgumentException e) { // guards against bytes that are none of ours
+            } catch (IllegalArgumentException e) {
+              // The bytes are not a consensus message.
               counters.add(Count.FLEET_UNREADABLE);
             }
           }
@@ -203,196 +216,221 @@
     fleet.registerTopic(TOPIC, this);
   }
 
-  private void add(String duty, String about, DutyRunner.DutyTask work) {
+  private void add(String duty, String dutyHall, DutyRunner.DutyTask task) {
     duties.put(
         duty,
         new DutyRunner(
             duty,
-            about,
+            dutyHall,
             vertx,
             clock,
             counters,
             journal,
             registers.newClient(),
             fences,
-            work,
-            taken -> changedHands(duty, taken),
+            task,
+            taken -> onLocalHolderChange(duty, taken),
             out -> new LeaseElector(settings, fleet.name(), startId, random.split(), out)));
   }
 
-  /** The agreed registers, for parts that keep something there. */
+  /** The replicated registers, for other components that keep state there. */
   public RegisterManager registers() {
     return registers;
   }
 
-  /** A duty that another part brings, before the fleet's listener is open. */
-  public void addDuty(String duty, DutyRunner.DutyTask work) {
-    add(duty, "", work);
+  /**
+   * Adds a duty of another component, which is for no particular hall. Must be called before the
+   * fleet's listener is open.
+   */
+  public void addDuty(String duty, DutyRunner.DutyTask task) {
+    add(duty, "", task);
   }
 
-  private void begin() {
-    began = true;
+  private void start() {
+    started = true;
     registers
         .open()
         .onComplete(
             v -> {
               if (!leaving) {
                 long now = clock.now();
-                duties.values().forEach(d -> d.claimant.start(now));
-                beat();
+                duties.values().forEach(runner -> runner.elector.start(now));
+                updateCandidaciesPeriodically();
               }
             });
   }
 
-  private void beat() {
+  private void updateCandidaciesPeriodically() {
     if (!leaving) {
-      stand();
-      vertx.setTimer(BEAT_MILLIS, t -> beat());
+      updateCandidacies();
+      vertx.setTimer(CANDIDACY_UPDATE_MILLIS, t -> updateCandidaciesPeriodically());
     }
   }
 
-  /** Looks for each duty how this front end stands for it. */
-  private void stand() {
-    Map<String, Integer> held = new LinkedHashMap<>();
-    duties.values().forEach(d -> held.merge(d.seen().holder(), 1, Integer::sum));
-    boolean fit =
-        state.get() == Lifecycle.State.SERVING && owner.isKeepingUp() && !fleet.hasYielded();
-    List<Candidate> all = new ArrayList<>();
-    all.add(new Candidate(fleet.name(), hall, fit, held.getOrDefault(fleet.name(), 0)));
-    for (Peer p : fleet.peers()) {
-      Claim c = p.claim();
-      all.add(
+  /** Ranks this front end among the candidates for each duty by the current view of the fleet. */
+  private void updateCandidacies() {
+    Map<String, Integer> dutiesByHolder = new LinkedHashMap<>();
+    duties
+        .values()
+        .forEach(runner -> dutiesByHolder.merge(runner.lastLease().holder(), 1, Integer::sum));
+    boolean eligible =
+        lifecycleState.get() == Lifecycle.State.SERVING
+            && dispatchLoop.isKeepingUp()
+            && !fleet.hasYielded();
+    List<Candidate> candidates = new ArrayList<>();
+    candidates.add(
+        new Candidate(fleet.name(), hall, eligible, dutiesByHolder.getOrDefault(fleet.name(), 0)));
+    for (Peer peer : fleet.peers()) {
+      Claim claim = peer.claim();
+      candidates.add(
           new Candidate(
-              c.name(),
-              c.about().hall(),
-              c.status() == Claim.Status.ALIVE && c.about().state() == About.State.SERVING,
-              held.getOrDefault(c.name(), 0)));
+              claim.name(),
+              claim.about().hall(),
+              claim.status() == Claim.Status.ALIVE && claim.about().state() == About.State.SERVING,
+              dutiesByHolder.getOrDefault(claim.name(), 0)));
     }
-    for (DutyRunner d : duties.values()) {
+    for (DutyRunner runner : duties.values()) {
       List<Candidate> willing =
-          all.stream().filter(c -> c.name().equals(fleet.name()) || !d.rests(c.name())).toList();
-      int place = CandidateRanking.rank(d.name, d.hall, fleet.name(), willing);
-      d.stand(
-          fit && !leaving, place < CandidateRanking.MAX_WATCHERS, CandidateRanking.delay(place));
+          candidates.stream()
+              .filter(c -> c.name().equals(fleet.name()) || !runner.isAbstaining(c.name()))
+              .toList();
+      int rank = CandidateRanking.rank(runner.name, runner.hall, fleet.name(), willing);
+      runner.updateCandidacy(
+          eligible && !leaving,
+          rank < CandidateRanking.MAX_WATCHERS,
+          CandidateRanking.takeoverDelay(rank));
     }
   }
 
   /**
-   * Gives back what is held, and lets go of the voter's folder; done once others may have both, or
-   * after a moment. What may act is none of this process's from the first step on.
+   * Gives back all duties. This process acts for none of them from the moment of the call.
+   *
+   * @return completes once the duties are free for others, or after {@value #LEAVE_TIMEOUT_MILLIS}
+   *     ms at the latest
    */
   public Future<Void> leave() {
-    if (givenBack != null) {
-      return givenBack.future();
+    if (dutiesReleased != null) {
+      return dutiesReleased.future();
     }
-    givenBack = Promise.promise();
+    dutiesReleased = Promise.promise();
     leaving = true;
-    if (began) {
-      stand();
+    if (started) {
+      updateCandidacies();
     }
-    boolean holds =
-        duties.values().stream().anyMatch(d -> d.seen().isHeldBy(fleet.name(), startId));
-    if (!holds) {
-      givenBack.tryComplete();
+    boolean holdsDuty =
+        duties.values().stream()
+            .anyMatch(runner -> runner.lastLease().isHeldBy(fleet.name(), startId));
+    if (!holdsDuty) {
+      dutiesReleased.tryComplete();
     }
-    vertx.setTimer(GIVE_BACK_MILLIS, t -> givenBack.tryComplete());
-    return givenBack.future();
+    vertx.setTimer(LEAVE_TIMEOUT_MILLIS, t -> dutiesReleased.tryComplete());
+    return dutiesReleased.future();
   }
 
-  /** Votes no more: done once a successor can have the folder. */
+  /**
+   * Stops all duties and the voter.
+   *
+   * @return completes once another process can open the voter's folder
+   */
   public Future<Void> close() {
     duties.values().forEach(DutyRunner::close);
     return registers.close();
   }
 
-  /** Has the others look, so that they take a free duty at once and know who has how many. */
-  private void changedHands(String duty, boolean taken) {
-    toAll(word(LOOK, duty, taken ? 0 : 1, List.of()));
+  /**
+   * Notifies the other front ends, so that they take a free duty at once and know how many duties
+   * each of them holds.
+   */
+  private void onLocalHolderChange(String duty, boolean taken) {
+    sendToLivingPeers(encode(HOLDER_CHANGED, duty, taken ? 0 : 1, List.of()));
     if (leaving
-        && duties.values().stream().noneMatch(d -> d.seen().isHeldBy(fleet.name(), startId))) {
-      givenBack.tryComplete();
+        && duties.values().stream()
+            .noneMatch(runner -> runner.lastLease().isHeldBy(fleet.name(), startId))) {
+      dutiesReleased.tryComplete();
     }
   }
 
-  // ---------------------------------------------------------------- what holders tell
+  // ---------------------------------------------------------------- messages between front ends
 
-  private void tell(String duty, long fence, List<HealthReading> readings) {
-    for (int from = 0; from < readings.size(); from += READINGS_A_PARCEL) {
+  private void publishReadings(String duty, long fence, List<HealthReading> readings) {
+    for (int from = 0; from < readings.size(); from += READINGS_PER_MESSAGE) {
       List<HealthReading> part =
-          readings.subList(from, Math.min(readings.size(), from + READINGS_A_PARCEL));
+          readings.subList(from, Math.min(readings.size(), from + READINGS_PER_MESSAGE));
       counters.add(Count.READINGS_SENT);
-      heard(duty, fence, part, fleet.name());
-      toAll(word(READINGS, duty, fence, part));
+      acceptReadings(duty, fence, part, fleet.name());
+      sendToLivingPeers(encode(READINGS, duty, fence, part));
     }
   }
 
-  private void toAll(byte[] word) {
+  private void sendToLivingPeers(byte[] message) {
     fleet
         .peers()
         .forEach(
-            p -> {
-              if (p.claim().isLiving()) {
-                fleet.sendToMember(TOPIC, p.claim().name(), word);
+            peer -> {
+              if (peer.claim().isLiving()) {
+                fleet.sendToMember(TOPIC, peer.claim().name(), message);
               }
             });
   }
 
-  private void heard(String duty, long fence, List<HealthReading> readings, String from) {
+  private void acceptReadings(String duty, long fence, List<HealthReading> readings, String from) {
     if (!fences.accept(duty, fence)) {
       counters.add(Count.ACTS_REFUSED);
       return;
     }
     counters.add(Count.READINGS_TAKEN);
     List<Fact> facts = new ArrayList<>();
-    for (HealthReading r : readings) {
+    for (HealthReading reading : readings) {
       facts.add(
           new Fact(
-              new Fact.Subject(Fact.Kind.WORKER, r.worker(), 0),
-              new Fact.Value(r.latencyRatio(), r.failureRate(), 0, 0),
+              new Fact.Subject(Fact.Kind.WORKER, reading.worker(), 0),
+              new Fact.Value(reading.latencyRatio(), reading.failureRate(), 0, 0),
               duty + '/' + from,
-              r.seenAt()));
+              reading.seenAt()));
     }
-    owner.mergeFacts(facts);
+    dispatchLoop.mergeFacts(facts);
   }
 
-  /** Ages travel as durations. */
-  private byte[] word(int kind, String duty, long fence, List<HealthReading> readings) {
+  /** Encodes a message. The time of a reading is sent as its age, as clocks differ. */
+  private byte[] encode(int kind, String duty, long fence, List<HealthReading> readings) {
     long now = clock.now();
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packArrayHeader(4)
+      out.packArrayHeader(MESSAGE_FIELDS)
           .packInt(kind)
           .packString(duty)
           .packLong(fence)
           .packArrayHeader(readings.size());
-      for (HealthReading r : readings) {
-        out.packArrayHeader(4)
-            .packString(r.worker())
-            .packFloat((float) r.latencyRatio())
-            .packFloat((float) r.failureRate())
-            .packLong(Math.max(0, now - r.seenAt()));
+      for (HealthReading reading : readings) {
+        out.packArrayHeader(READING_FIELDS)
+            .packString(reading.worker())
+            .packFloat((float) reading.latencyRatio())
+            .packFloat((float) reading.failureRate())
+            .packLong(Math.max(0, now - reading.seenAt()));
       }
       return out.toByteArray();
     } catch (IOException e) {
-      throw new IllegalStateException(e); // a buffer in memory
+      // A buffer in memory does not fail.
+      throw new IllegalStateException(e);
     }
   }
 
   @Override
   public void onTopicMessage(String from, byte[] body) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
-      if (in.unpackArrayHeader() < 4) {
+      if (in.unpackArrayHeader() < MESSAGE_FIELDS) {
         throw new IllegalArgumentException("too few fields");
       }
       int kind = in.unpackInt();
       String duty = in.unpackString();
       long fence = in.unpackLong();
-      int n = in.unpackArrayHeader();
-      if (n > MOST_READINGS || duty.length() > MOST_REGISTER_NAME) { // guards the memory
+      int count = in.unpackArrayHeader();
+      // Limits the memory that a message can take.
+      if (count > MAX_RECEIVED_READINGS || duty.length() > MAX_NAME_CHARS) {
         throw new IllegalArgumentException("too long");
       }
       long now = clock.now();
       List<HealthReading> readings = new ArrayList<>();
-      for (int i = 0; i < n; i++) {
+      for (int i = 0; i < count; i++) {
         in.unpackArrayHeader();
         readings.add(
             new HealthReading(
@@ -401,60 +439,63 @@
                 in.unpackFloat(),
                 now - Math.max(0, in.unpackLong())));
       }
-      taken(from, kind, duty, fence, readings);
+      handleMessage(from, kind, duty, fence, readings);
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
       counters.add(Count.FLEET_UNREADABLE);
     }
   }
 
-  private void taken(String from, int kind, String duty, long fence, List<HealthReading> readings) {
-    DutyRunner d = duties.get(duty);
-    if (d == null) {
-      return; // none of ours
+  private void handleMessage(
+      String from, int kind, String duty, long fence, List<HealthReading> readings) {
+    DutyRunner runner = duties.get(duty);
+    // Not configured on this front end.
+    if (runner == null) {
+      return;
     }
     if (kind == READINGS) {
-      heard(duty, fence, readings, from);
-    } else if (kind == LOOK) {
-      d.changedHands(from, fence > 0, rest());
-      stand();
+      acceptReadings(duty, fence, readings, from);
+    } else if (kind == HOLDER_CHANGED) {
+      runner.onRemoteHolderChange(from, fence > 0, abstainMicros());
+      updateCandidacies();
     } else if (kind == RELEASE) {
-      release(d);
+      release(runner);
     }
   }
 
-  private boolean release(DutyRunner d) {
-    return d.release(rest());
+  private boolean release(DutyRunner runner) {
+    return runner.release(abstainMicros());
   }
 
-  /** For so long whoever gave a duty back leaves it to others. */
-  private long rest() {
-    return 2 * options.lengthMillis() * MS;
+  /** How long a front end that gave a duty back leaves it to others. */
+  private long abstainMicros() {
+    return ABSTAIN_LEASES * options.lengthMillis() * MICROS_PER_MILLI;
   }
 
   @Override
   public void onFleetChange() {
-    if (!began && fleet.isOpen()) {
-      begin();
-    } else if (began && !leaving) {
-      stand();
+    if (!started && fleet.isOpen()) {
+      start();
+    } else if (started && !leaving) {
+      updateCandidacies();
     }
   }
 
-  // ---------------------------------------------------------------- what operators ask
+  // ---------------------------------------------------------------- operators' calls
 
   @Override
   public Future<String> onOperatorCall(List<String> words) {
     String verb = words.isEmpty() ? "show" : words.get(0);
-    String first = words.size() > 1 ? words.get(1) : "";
+    String argument = words.size() > 1 ? words.get(1) : "";
     try {
       return switch (verb) {
         case "show" -> Future.succeededFuture(show().toString());
-        case "release" -> Future.succeededFuture(release(first));
-        case "register" -> register(first);
+        case "release" -> Future.succeededFuture(release(argument));
+        case "register" -> register(argument);
         case "voters" -> Future.succeededFuture(registers.status().toString());
-        case "found" -> begun(registers::bootstrapVoters);
+        case "found" -> startCommand(registers::bootstrapVoters);
         case "replace" ->
-            begun(() -> registers.replaceVoter(first, words.size() > 2 ? words.get(2) : ""));
+            startCommand(
+                () -> registers.replaceVoter(argument, words.size() > 2 ? words.get(2) : ""));
         default -> Future.failedFuture("'" + verb + "' is not known");
       };
     } catch (IllegalStateException e) {
@@ -462,90 +503,97 @@
     }
   }
 
-  private Future<String> begun(Runnable command) {
+  /** Starts a command that goes on in the background, and answers with the status by then. */
+  private Future<String> startCommand(Runnable command) {
     command.run();
     return Future.succeededFuture(registers.status().toString());
   }
 
   private String release(String duty) {
-    DutyRunner d = duties.get(duty);
-    if (d == null) {
+    DutyRunner runner = duties.get(duty);
+    if (runner == null) {
       throw new IllegalStateException(
           "there is no duty " + duty + "; there are " + duties.keySet());
     }
-    Lease l = d.seen();
-    boolean here = release(d);
-    if (!here) { // who was seen to hold it last may not any more: whoever does heeds it
-      toAll(word(RELEASE, duty, 0, List.of()));
+    Lease lease = runner.lastLease();
+    boolean releasedHere = release(runner);
+    if (!releasedHere) {
+      // Sent to all, as the last known holder may have lost the duty since.
+      sendToLivingPeers(encode(RELEASE, duty, 0, List.of()));
     }
-    JsonObject o = new JsonObject();
-    o.addProperty(
-        "asked", here ? fleet.name() : l.holder().isEmpty() ? "whoever holds it" : l.holder());
-    return o.toString();
+    JsonObject answer = new JsonObject();
+    answer.addProperty(
+        "asked",
+        releasedHere
+            ? fleet.name()
+            : lease.holder().isEmpty() ? "whoever holds it" : lease.holder());
+    return answer.toString();
   }
 
   private Future<String> register(String name) {
-    if (name.isEmpty() || name.length() > MOST_REGISTER_NAME) {
+    if (name.isEmpty() || name.length() > MAX_NAME_CHARS) {
       return Future.failedFuture("the name of a register is needed");
     }
-    Promise<String> told = Promise.promise();
-    reader.read(
+    Promise<String> answer = Promise.promise();
+    registerReader.read(
         name,
         clock.now() + settings.requestTimeout(),
-        v -> {
-          if (v == null) {
-            told.fail("no majority of " + registers.voters().keys() + " answers");
+        value -> {
+          if (value == null) {
+            answer.fail("no majority of " + registers.voters().keys() + " answers");
           } else {
-            told.complete(register(name, v).toString());
+            answer.complete(register(name, value).toString());
           }
         });
-    return told.future();
+    return answer.future();
   }
 
-  private static JsonObject register(String name, RegisterValue v) {
-    JsonObject o = new JsonObject();
-    o.addProperty("register", name);
-    o.addProperty("version", v.version());
-    o.addProperty("text", v.text());
-    return o;
+  private static JsonObject register(String name, RegisterValue value) {
+    JsonObject answer = new JsonObject();
+    answer.addProperty("register", name);
+    answer.addProperty("version", value.version());
+    answer.addProperty("text", value.text());
+    return answer;
   }
 
   private JsonObject show() {
-    JsonObject o = new JsonObject();
-    o.addProperty("member", fleet.name());
-    o.addProperty("start", Long.toHexString(startId));
+    JsonObject answer = new JsonObject();
+    answer.addProperty("member", fleet.name());
+    answer.addProperty("start", Long.toHexString(startId));
     JsonArray all = new JsonArray();
     long now = clock.now();
-    for (DutyRunner d : duties.values()) {
+    for (DutyRunner runner : duties.values()) {
       JsonObject line = new JsonObject();
-      Lease l = d.seen();
-      line.addProperty("duty", d.name);
-      line.addProperty("known", d.claimant.isKnown());
-      line.addProperty("holder", l.holder());
-      line.addProperty("fence", l.fence());
-      line.addProperty("here", d.isHeld());
-      line.addProperty("left_ms", d.claimant.remaining(now) / MS);
-      line.addProperty("since_ms", d.sinceMillis());
+      Lease lease = runner.lastLease();
+      line.addProperty("duty", runner.name);
+      line.addProperty("known", runner.elector.isKnown());
+      line.addProperty("holder", lease.holder());
+      line.addProperty("fence", lease.fence());
+      line.addProperty("here", runner.isHeld());
+      line.addProperty("left_ms", runner.elector.remaining(now) / MICROS_PER_MILLI);
+      line.addProperty("since_ms", runner.sinceMillis());
       all.add(line);
     }
-    o.add("duties", all);
-    o.add("voters", registers.status());
-    return o;
+    answer.add("duties", all);
+    answer.add("voters", registers.status());
+    return answer;
   }
 
-  /** What the beacon says. */
+  /** Body of a report of the duty {@code beacon}. */
   private JsonObject report() {
-    JsonObject o = new JsonObject();
-    o.addProperty("member", fleet.name());
-    o.addProperty("start", Long.toHexString(startId));
+    JsonObject body = new JsonObject();
+    body.addProperty("member", fleet.name());
+    body.addProperty("start", Long.toHexString(startId));
     int living = 1;
-    for (Peer p : fleet.peers()) {
-      living += p.claim().isLiving() ? 1 : 0;
+    for (Peer peer : fleet.peers()) {
+      living += peer.claim().isLiving() ? 1 : 0;
     }
-    o.addProperty("living", living);
+    body.addProperty("living", living);
     JsonObject holders = new JsonObject();
-    duties.values().forEach(d -> holders.addProperty(d.name, d.seen().holder()));
-    o.add("holders", holders);
-    return o;
+    duties
+        .values()
+        .forEach(runner -> holders.addProperty(runner.name, runner.lastLease().holder()));
+    body.add("holders", holders);
+    return body;
   }
 }
--- a/src/main/java/umberrun/lease/sim/LeaseModel.java
+++ b/src/main/java/umberrun/lease/sim/LeaseModel.java
@@ -16,121 +16,138 @@
 import umberrun.sim.ModelChecker;
 
 /**
- * Three voters, two candidates for one duty and who receives its acts, with all orders and losses
- * of messages, answers that come late, crashes of voters and candidates, clocks that run fast or
- * slow from one moment to the next, and pauses: a wait may end at any time after it is due, and
- * time may pass between any two steps. Not in it: a question that arrives after its try is over,
- * but for those that have a voter accept something (others only keep a later try from its
- * majority).
+ * Model of three voters, two candidates for one duty and the receiver of their acts. It covers all
+ * orders and losses of messages, late answers, crashes of voters and candidates, clocks whose rates
+ * differ or change, and pauses: a timer may fire at any time after it is due, and time may pass
+ * between any two steps. Not covered are requests that arrive after the end of their attempt,
+ * except accept requests: the others can only keep a later attempt from its majority.
  */
 public final class LeaseModel implements ModelChecker.Model {
   /**
-   * How often what may happen, in all.
+   * Total number of times that each kind of event may occur.
    *
-   * @param steps each candidate's clock may run slow or fast from one tick to the next; else the
-   *     first one's is slow and the second one's fast
-   * @param ticks a third of a lease each
-   * @param late questions that come to a voter by themselves, at any time, with an answer at once
-   *     or late, before its sync or after it, or to two voters whose answers are lost; all others
-   *     come to two voters and are answered at once, in any order among candidates
-   * @param tries further tries of a change
+   * @param changingRates whether each candidate's clock may be slow or fast in each tick; otherwise
+   *     the first one's is always slow and the second one's always fast
+   * @param ticks of the clocks, a third of a lease each
+   * @param lateMessages requests that reach a single voter at any time, with an answer at once or
+   *     late, before its sync or after it, or that reach two voters whose answers are lost. All
+   *     others reach two voters and are answered at once, in any order among the candidates
+   * @param retries further attempts of a change
    * @param crashes of voters
    * @param restarts of candidates
-   * @param acts that leave some time after the look at the clock
-   * @param gives times that a holder gives the duty back, and the other hears of it
+   * @param acts that may arrive some time after the holder has checked its lease
+   * @param releases times that a holder gives the duty back and the other candidate is notified
    */
   public record Bounds(
-      boolean steps,
+      boolean changingRates,
       int ticks,
-      int late,
-      int tries,
+      int lateMessages,
+      int retries,
       int crashes,
       int restarts,
       int acts,
-      int gives) {}
+      int releases) {}
 
   public static final LeaseElector.Settings SETTINGS =
       new LeaseElector.Settings(6_000_000, 0.25, 0, 2_000_000);
-  private static final long TICK = 2_000_000;
-  private static final long TRY = 1_000_000;
+  private static final long TICK_MICROS = 2_000_000;
+  private static final long ATTEMPT_TIMEOUT_MICROS = 1_000_000;
 
-  /** What is due so soon may as well be due now: else each short wait would cost a tick. */
-  private static final long SHORT = 1_000;
+  /** Timers that are due this soon may fire now; otherwise each short wait would cost a tick. */
+  private static final long TIMER_TOLERANCE_MICROS = 1_000;
 
-  private static final double[] RATES = {1 - SETTINGS.clockDrift(), 1 + SETTINGS.clockDrift()};
-  private static final int[][] PAIRS = {{0, 1}, {1, 2}, {0, 2}};
+  /** Rates of a slow and of a fast clock. */
+  private static final double[] CLOCK_RATES = {
+    1 - SETTINGS.clockDrift(), 1 + SETTINGS.clockDrift()
+  };
+
+  private static final int[][] MAJORITIES = {{0, 1}, {1, 2}, {0, 2}};
+
+  /** Argument of {@link #tick}: the first clock is slow and the second one fast. */
   private static final int SLOW_AND_FAST = 2;
+
+  /** Number of arguments of {@link #tick}. */
+  private static final int RATE_COMBINATIONS = 4;
+
+  /** Number of actions of {@link #candidateStep}. */
+  private static final int CANDIDATE_ACTIONS = 5;
+
   private static final String REGISTER = "duty";
   private static final List<String> VOTERS = List.of("v0", "v1", "v2");
 
+  /** Draws the shortest delays; longer ones are covered, as a timer may fire late. */
+  private static final RandomGenerator SHORTEST_DELAYS = () -> 0L;
+
   /**
-   * Waits are as short as they may be drawn: all that is longer is among the courses, as a wait may
-   * end late.
+   * A request or a late answer in flight.
+   *
+   * @param candidate number of the candidate that sent the request
+   * @param life of that candidate; a restarted one ignores answers to its earlier life
    */
-  private static final RandomGenerator SHORTEST = () -> 0L;
-
-  /** A question, or an answer that is late, between one life of a candidate and a voter. */
-  private record Sent(int candidate, int life, int voter, ConsensusMessage message) {}
+  private record InFlightMessage(int candidate, int life, int voter, ConsensusMessage message) {}
 
+  /** A front end that may take the duty, with its clock and its proposer. */
   private final class Candidate implements LeaseElector.Outbox, Proposer.Outbox {
     final int number;
     int life;
     long clock;
-    long wakeAt;
+    long timerAt;
     long retryAt;
-    long until;
-    LeaseElector claimant;
+    long requestEndsAt;
+    LeaseElector elector;
     Proposer proposer;
 
     Candidate(int number, int life) {
       this.number = number;
       this.life = life;
-      make();
-    }
-
-    /** The same in another world. */
-    Candidate(Candidate o) {
-      this(o.number, o.life);
-      clock = o.clock;
-      wakeAt = o.wakeAt;
-      retryAt = o.retryAt;
-      until = o.until;
-      Proposer.Change step = claimant.copyStateFrom(o.claimant);
+      create();
+    }
+
+    /** Copies a candidate into another state of the model. */
+    Candidate(Candidate other) {
+      this(other.number, other.life);
+      clock = other.clock;
+      timerAt = other.timerAt;
+      retryAt = other.retryAt;
+      requestEndsAt = other.requestEndsAt;
+      Proposer.Change pendingChange = elector.copyStateFrom(other.elector);
+      // A read has no pending change; the proposer's own change for it has no state to copy.
       proposer.copyStateFrom(
-          o.proposer,
-          c -> step == null ? c : step); // a read has no step, and a change that is its own copy
+          other.proposer, change -> pendingChange == null ? change : pendingChange);
     }
 
-    private void make() {
+    private void create() {
       clock = life * 1_000_000_000L;
-      wakeAt = Long.MAX_VALUE;
+      timerAt = Long.MAX_VALUE;
       retryAt = Long.MAX_VALUE;
-      claimant = maker.make(SETTINGS, "c" + number, life, SHORTEST, this);
-      proposer = new Proposer("c" + number + "/" + life, VOTERS, TRY, SHORTEST, this);
+      elector = factory.make(SETTINGS, "c" + number, life, SHORTEST_DELAYS, this);
+      proposer =
+          new Proposer(
+              "c" + number + "/" + life, VOTERS, ATTEMPT_TIMEOUT_MICROS, SHORTEST_DELAYS, this);
     }
 
-    /** A process begins. */
+    /** Starts a new process. */
     void start() {
       life++;
-      make();
-      claimant.start(clock);
+      create();
+      elector.start(clock);
     }
 
     @Override
-    public void read(long until) {
-      this.until = until;
-      proposer.read(clock, REGISTER, until);
+    public void read(long requestEndsAt) {
+      this.requestEndsAt = requestEndsAt;
+      proposer.read(clock, REGISTER, requestEndsAt);
     }
 
     @Override
-    public void propose(Proposer.Change change, long until) {
-      this.until = until;
-      proposer.submit(clock, REGISTER, change, until);
+    public void propose(Proposer.Change change, long requestEndsAt) {
+      this.requestEndsAt = requestEndsAt;
+      proposer.submit(clock, REGISTER, change, requestEndsAt);
     }
 
     @Override
-    public void send(String voter, ConsensusMessage m) {
-      questions.add(new Sent(number, life, VOTERS.indexOf(voter), m));
+    public void send(String voter, ConsensusMessage message) {
+      requests.add(new InFlightMessage(number, life, VOTERS.indexOf(voter), message));
     }
 
     @Override
@@ -140,73 +157,78 @@
 
     @Override
     public void startTimer(long at) {
-      wakeAt = at;
+      timerAt = at;
     }
 
     @Override
-    public void done(RegisterValue v) {
+    public void done(RegisterValue value) {
       retryAt = Long.MAX_VALUE;
-      claimant.onRegisterResult(clock, v);
+      elector.onRegisterResult(clock, value);
     }
 
     @Override
     public void onFenceChange(long fence, String cause) {
       if (fence >= 0) {
-        String mine = number + "/" + life;
-        if (!holders.computeIfAbsent(fence, f -> mine).equals(mine)) {
-          wrong = "fence " + fence + " is of " + holders.get(fence) + " and of " + mine;
+        String holder = number + "/" + life;
+        if (!holders.computeIfAbsent(fence, f -> holder).equals(holder)) {
+          violation = "fence " + fence + " is held by " + holders.get(fence) + " and by " + holder;
         }
       }
     }
 
-    String state() {
-      return claimant.stateText(clock)
+    String stateText() {
+      return elector.stateText(clock)
           + proposer.stateText()
-          + (wakeAt == Long.MAX_VALUE ? "-" : Math.max(0, wakeAt - clock))
+          + (timerAt == Long.MAX_VALUE ? "-" : Math.max(0, timerAt - clock))
           + " "
           + (retryAt == Long.MAX_VALUE
               ? "-"
-              : Math.max(0, retryAt - clock) + "/" + Math.max(0, until - clock))
+              : Math.max(0, retryAt - clock) + "/" + Math.max(0, requestEndsAt - clock))
           + " "
           + life;
     }
   }
 
-  private final LeaseSimulation.Factory maker;
+  private final LeaseSimulation.Factory factory;
   private final LeaseSimulation.Fault fault;
   private final Voter[] voters = new Voter[VOTERS.size()];
 
-  /** What a crash leaves of each. */
+  /** State of each voter on disk, which a crash leaves intact. */
   private final List<Map<String, Voter.Slot>> synced = new ArrayList<>();
 
-  private final List<Sent> questions = new ArrayList<>();
-  private final List<Sent> lateAnswers = new ArrayList<>();
+  private final List<InFlightMessage> requests = new ArrayList<>();
+  private final List<InFlightMessage> lateAnswers = new ArrayList<>();
+
+  /** Fences of the acts in flight. */
   private final List<Long> acts = new ArrayList<>();
+
+  /** Candidate and life that took the duty under each fence. */
   private final Map<Long, String> holders = new HashMap<>();
+
   private final FenceRegistry fences = new FenceRegistry();
   private final Candidate[] candidates = new Candidate[2];
-  private final boolean steps;
-  private int ticks;
-  private int late;
-  private int tries;
-  private int crashes;
-  private int restarts;
+  private final boolean changingRates;
+  private int ticksLeft;
+  private int lateMessagesLeft;
+  private int retriesLeft;
+  private int crashesLeft;
+  private int restartsLeft;
   private int actsLeft;
-  private int gives;
-  private long lastTaken = -1;
-  private String wrong;
+  private int releasesLeft;
+  private long lastAcceptedFence = -1;
+  private String violation;
 
-  public LeaseModel(Bounds bounds, LeaseSimulation.Factory maker, LeaseSimulation.Fault fault) {
-    this.maker = maker;
+  public LeaseModel(Bounds bounds, LeaseSimulation.Factory factory, LeaseSimulation.Fault fault) {
+    this.factory = factory;
     this.fault = fault;
-    steps = bounds.steps;
-    ticks = bounds.ticks;
-    late = bounds.late;
-    tries = bounds.tries;
-    crashes = bounds.crashes;
-    restarts = bounds.restarts;
+    changingRates = bounds.changingRates;
+    ticksLeft = bounds.ticks;
+    lateMessagesLeft = bounds.lateMessages;
+    retriesLeft = bounds.retries;
+    crashesLeft = bounds.crashes;
+    restartsLeft = bounds.restarts;
     actsLeft = bounds.acts;
-    gives = bounds.gives;
+    releasesLeft = bounds.releases;
     fences.observe(REGISTER, 0);
     for (int v = 0; v < voters.length; v++) {
       voters[v] = new Voter(Map.of(), 1);
@@ -218,30 +240,30 @@
     }
   }
 
-  private LeaseModel(LeaseModel o) {
-    maker = o.maker;
-    fault = o.fault;
-    steps = o.steps;
-    ticks = o.ticks;
-    late = o.late;
-    tries = o.tries;
-    crashes = o.crashes;
-    restarts = o.restarts;
-    actsLeft = o.actsLeft;
-    gives = o.gives;
-    lastTaken = o.lastTaken;
-    wrong = o.wrong;
-    fences.observe(REGISTER, Math.max(0, lastTaken));
-    questions.addAll(o.questions);
-    lateAnswers.addAll(o.lateAnswers);
-    acts.addAll(o.acts);
-    holders.putAll(o.holders);
+  private LeaseModel(LeaseModel other) {
+    factory = other.factory;
+    fault = other.fault;
+    changingRates = other.changingRates;
+    ticksLeft = other.ticksLeft;
+    lateMessagesLeft = other.lateMessagesLeft;
+    retriesLeft = other.retriesLeft;
+    crashesLeft = other.crashesLeft;
+    restartsLeft = other.restartsLeft;
+    actsLeft = other.actsLeft;
+    releasesLeft = other.releasesLeft;
+    lastAcceptedFence = other.lastAcceptedFence;
+    violation = other.violation;
+    fences.observe(REGISTER, Math.max(0, lastAcceptedFence));
+    requests.addAll(other.requests);
+    lateAnswers.addAll(other.lateAnswers);
+    acts.addAll(other.acts);
+    holders.putAll(other.holders);
     for (int v = 0; v < voters.length; v++) {
-      voters[v] = new Voter(o.voters[v].slots(), 1);
-      synced.add(o.synced.get(v));
+      voters[v] = new Voter(other.voters[v].slots(), 1);
+      synced.add(other.synced.get(v));
     }
     for (int c = 0; c < candidates.length; c++) {
-      candidates[c] = new Candidate(o.candidates[c]);
+      candidates[c] = new Candidate(other.candidates[c]);
     }
   }
 
@@ -250,87 +272,93 @@
     return new LeaseModel(this);
   }
 
-  /** What is on its way, what candidates do, faults, and time. */
+  /** Messages in flight, actions of candidates, faults and ticks of the clocks. */
   @Override
   public int choiceCount() {
-    return 2 * PAIRS.length * candidates.length
+    return 2 * MAJORITIES.length * candidates.length
         + lateAnswers.size()
-        + 5 * candidates.length
+        + CANDIDATE_ACTIONS * candidates.length
         + acts.size()
-        + 2 * questions.size()
+        + 2 * requests.size()
         + voters.length
-        + 4;
+        + RATE_COMBINATIONS;
   }
 
   @Override
   public boolean takeStep(int choice) {
-    boolean taken = step(choice);
-    questions.removeIf(
-        s -> (late == 0 || !(s.message instanceof ConsensusMessage.Accept)) && !isAwaited(s));
+    boolean taken = perform(choice);
+    requests.removeIf(
+        s ->
+            (lateMessagesLeft == 0 || !(s.message instanceof ConsensusMessage.Accept))
+                && !isAwaited(s));
     lateAnswers.removeIf(s -> !isAwaited(s));
     return taken;
   }
 
-  private boolean isAwaited(Sent s) {
-    Candidate c = candidates[s.candidate];
-    return c.life == s.life && c.proposer.isBusy() && c.proposer.isForCurrentPhase(s.message);
+  private boolean isAwaited(InFlightMessage inFlight) {
+    Candidate candidate = candidates[inFlight.candidate];
+    return candidate.life == inFlight.life
+        && candidate.proposer.isBusy()
+        && candidate.proposer.isForCurrentPhase(inFlight.message);
   }
 
-  private boolean step(int choice) {
-    int c = choice;
-    if (c < PAIRS.length * candidates.length) {
-      return askMajority(candidates[c % candidates.length], PAIRS[c / candidates.length], false);
+  private boolean perform(int choice) {
+    int index = choice;
+    if (index < MAJORITIES.length * candidates.length) {
+      return deliverToMajority(
+          candidates[index % candidates.length], MAJORITIES[index / candidates.length], false);
     }
-    c -= PAIRS.length * candidates.length;
-    if (c < lateAnswers.size()) {
-      answer(lateAnswers.remove(c));
+    index -= MAJORITIES.length * candidates.length;
+    if (index < lateAnswers.size()) {
+      syncAndAnswer(lateAnswers.remove(index));
       return true;
     }
-    c -= lateAnswers.size();
-    if (c < 5 * candidates.length) {
-      return own(candidates[c % candidates.length], c / candidates.length);
+    index -= lateAnswers.size();
+    if (index < CANDIDATE_ACTIONS * candidates.length) {
+      return candidateStep(candidates[index % candidates.length], index / candidates.length);
     }
-    c -= 5 * candidates.length;
-    if (c < acts.size()) {
-      receive(acts.remove(c));
+    index -= CANDIDATE_ACTIONS * candidates.length;
+    if (index < acts.size()) {
+      receiveAct(acts.remove(index));
       return true;
     }
-    c -= acts.size();
-    if (c < 2 * questions.size()) {
-      if (late == 0) {
+    index -= acts.size();
+    if (index < 2 * requests.size()) {
+      if (lateMessagesLeft == 0) {
         return false;
       }
-      late--;
-      ask(questions.remove(c / 2), c % 2 == 1);
+      lateMessagesLeft--;
+      deliverRequest(requests.remove(index / 2), index % 2 == 1);
       return true;
     }
-    c -= 2 * questions.size();
-    if (c < PAIRS.length * candidates.length) {
-      return late > 0
-          && askMajority(candidates[c % candidates.length], PAIRS[c / candidates.length], true);
+    index -= 2 * requests.size();
+    if (index < MAJORITIES.length * candidates.length) {
+      return lateMessagesLeft > 0
+          && deliverToMajority(
+              candidates[index % candidates.length], MAJORITIES[index / candidates.length], true);
     }
-    c -= PAIRS.length * candidates.length;
-    return c < voters.length ? crash(c) : tick(c - voters.length);
+    index -= MAJORITIES.length * candidates.length;
+    return index < voters.length ? crash(index) : tick(index - voters.length);
   }
 
-  /** Two voters are asked and answer at once; or their answers are lost. */
-  private boolean askMajority(Candidate c, int[] pair, boolean lost) {
-    List<Sent> asked = new ArrayList<>();
-    for (int v : pair) {
-      questions.stream()
-          .filter(s -> s.candidate == c.number && s.voter == v && isAwaited(s))
+  /** Delivers a request to two voters that answer at once, or whose answers are lost. */
+  private boolean deliverToMajority(Candidate candidate, int[] majority, boolean answersLost) {
+    List<InFlightMessage> delivered = new ArrayList<>();
+    for (int v : majority) {
+      requests.stream()
+          .filter(s -> s.candidate == candidate.number && s.voter == v && isAwaited(s))
           .findFirst()
-          .ifPresent(asked::add);
+          .ifPresent(delivered::add);
     }
-    if (asked.size() < pair.length) {
+    if (delivered.size() < majority.length) {
       return false;
     }
-    questions.removeAll(asked);
-    asked.forEach(s -> ask(s, lost));
-    if (lost) {
-      late--;
-      lateAnswers.subList(lateAnswers.size() - pair.length, lateAnswers.size()).clear();
-      for (int v : pair) {
+    requests.removeAll(delivered);
+    delivered.forEach(s -> deliverRequest(s, answersLost));
+    if (answersLost) {
+      lateMessagesLeft--;
+      lateAnswers.subList(lateAnswers.size() - majority.length, lateAnswers.size()).clear();
+      for (int v : majority) {
         synced.set(v, Map.copyOf(voters[v].slots()));
       }
     }
@@ -338,46 +366,55 @@
   }
 
   /**
-   * @param rates the first candidate's by its last bit, the second one's by the other
+   * Advances both clocks by a tick.
+   *
+   * @param rates the lowest bit is set if the first clock is fast, the next one if the second is
    */
   private boolean tick(int rates) {
-    if (ticks == 0 || !steps && rates != SLOW_AND_FAST) {
+    if (ticksLeft == 0 || !changingRates && rates != SLOW_AND_FAST) {
       return false;
     }
-    ticks--;
-    candidates[0].clock += (long) (TICK * RATES[rates & 1]);
-    candidates[1].clock += (long) (TICK * RATES[rates >> 1]);
+    ticksLeft--;
+    candidates[0].clock += (long) (TICK_MICROS * CLOCK_RATES[rates & 1]);
+    candidates[1].clock += (long) (TICK_MICROS * CLOCK_RATES[rates >> 1]);
     return true;
   }
 
-  private void receive(long fence) {
-    if (fences.accept(REGISTER, fence) || fault == LeaseSimulation.Fault.TAKES_OLD_FENCES) {
-      if (fence < lastTaken) {
-        wrong = "an act of fence " + fence + " was taken after one of " + lastTaken;
+  /** Lets the receiver of the acts accept or refuse one. */
+  private void receiveAct(long fence) {
+    if (fences.accept(REGISTER, fence) || fault == LeaseSimulation.Fault.ACCEPTS_OLD_FENCES) {
+      if (fence < lastAcceptedFence) {
+        violation = "an act of fence " + fence + " was accepted after one of " + lastAcceptedFence;
       }
-      lastTaken = fence;
+      lastAcceptedFence = fence;
     }
   }
 
-  private boolean own(Candidate c, int what) {
-    switch (what) {
+  /**
+   * Performs an action of a candidate, if it is possible now.
+   *
+   * @param action 0 fires the elector's timer, 1 the proposer's, 2 sends an act, 3 restarts the
+   *     process, 4 gives the duty back
+   */
+  private boolean candidateStep(Candidate candidate, int action) {
+    switch (action) {
       case 0 -> {
-        if (c.clock + SHORT < c.wakeAt) {
+        if (candidate.clock + TIMER_TOLERANCE_MICROS < candidate.timerAt) {
           return false;
         }
-        c.wakeAt = Long.MAX_VALUE;
-        c.claimant.onTimer(c.clock);
+        candidate.timerAt = Long.MAX_VALUE;
+        candidate.elector.onTimer(candidate.clock);
       }
       case 1 -> {
-        boolean again = c.clock < c.until;
-        if (c.clock < c.retryAt || again && tries == 0) {
+        boolean isRetry = candidate.clock < candidate.requestEndsAt;
+        if (candidate.clock < candidate.retryAt || isRetry && retriesLeft == 0) {
           return false;
         }
-        tries -= again ? 1 : 0;
-        c.proposer.onTimer(c.clock);
+        retriesLeft -= isRetry ? 1 : 0;
+        candidate.proposer.onTimer(candidate.clock);
       }
       case 2 -> {
-        long fence = c.claimant.activeFence(c.clock);
+        long fence = candidate.elector.activeFence(candidate.clock);
         if (actsLeft == 0 || fence < 0) {
           return false;
         }
@@ -385,111 +422,116 @@
         acts.add(fence);
       }
       case 3 -> {
-        if (restarts == 0) {
+        if (restartsLeft == 0) {
           return false;
         }
-        restarts--;
-        c.start();
+        restartsLeft--;
+        candidate.start();
       }
       default -> {
-        if (gives == 0 || c.claimant.activeFence(c.clock) < 0) {
+        if (releasesLeft == 0 || candidate.elector.activeFence(candidate.clock) < 0) {
           return false;
         }
-        gives--;
-        c.claimant.setEligible(c.clock, false);
-        candidates[1 - c.number].claimant.refresh(candidates[1 - c.number].clock);
+        releasesLeft--;
+        candidate.elector.setEligible(candidate.clock, false);
+        candidates[1 - candidate.number].elector.refresh(candidates[1 - candidate.number].clock);
       }
     }
     return true;
   }
 
-  private boolean crash(int v) {
-    if (crashes == 0) {
+  private boolean crash(int voter) {
+    if (crashesLeft == 0) {
       return false;
     }
-    crashes--;
-    voters[v] =
+    crashesLeft--;
+    voters[voter] =
         new Voter(
-            fault == LeaseSimulation.Fault.VOTES_WITHOUT_FOLDER ? Map.of() : synced.get(v), 1);
-    synced.set(v, voters[v].slots().isEmpty() ? Map.of() : synced.get(v));
-    lateAnswers.removeIf(s -> s.voter == v); // with what was not synced
+            fault == LeaseSimulation.Fault.VOTES_WITHOUT_FOLDER ? Map.of() : synced.get(voter), 1);
+    synced.set(voter, voters[voter].slots().isEmpty() ? Map.of() : synced.get(voter));
+    // Answers are late until the voter has synced, so the crash loses them.
+    lateAnswers.removeIf(answer -> answer.voter == voter);
     return true;
   }
 
-  /** A question comes to its voter. What is answered late is on no disk until then. */
-  private void ask(Sent s, boolean isLate) {
+  /** Delivers a request to its voter. A late answer waits for the sync of what it reports. */
+  private void deliverRequest(InFlightMessage request, boolean isLate) {
     Map<String, Voter.Slot> before =
-        fault == LeaseSimulation.Fault.SKIPS_SYNC ? Map.copyOf(voters[s.voter].slots()) : null;
-    Voter.VoteResult step = voters[s.voter].handle(s.message);
-    if (step == null) {
+        fault == LeaseSimulation.Fault.SKIPS_SYNC
+            ? Map.copyOf(voters[request.voter].slots())
+            : null;
+    Voter.VoteResult result = voters[request.voter].handle(request.message);
+    if (result == null) {
       return;
     }
-    Sent answer = new Sent(s.candidate, s.life, s.voter, step.answer());
+    InFlightMessage answer =
+        new InFlightMessage(request.candidate, request.life, request.voter, result.answer());
     if (isLate) {
       lateAnswers.add(answer);
     } else if (fault == LeaseSimulation.Fault.SKIPS_SYNC) {
-      synced.set(s.voter, before);
-      deliver(answer);
+      synced.set(request.voter, before);
+      deliverAnswer(answer);
     } else {
-      answer(answer);
+      syncAndAnswer(answer);
     }
   }
 
-  private void answer(Sent s) {
-    synced.set(s.voter, Map.copyOf(voters[s.voter].slots()));
-    deliver(s);
+  private void syncAndAnswer(InFlightMessage answer) {
+    synced.set(answer.voter, Map.copyOf(voters[answer.voter].slots()));
+    deliverAnswer(answer);
   }
 
-  private void deliver(Sent s) {
-    Candidate c = candidates[s.candidate];
-    if (c.life == s.life) {
-      c.proposer.receive(c.clock, VOTERS.get(s.voter), s.message);
+  private void deliverAnswer(InFlightMessage answer) {
+    Candidate candidate = candidates[answer.candidate];
+    if (candidate.life == answer.life) {
+      candidate.proposer.receive(candidate.clock, VOTERS.get(answer.voter), answer.message);
     }
   }
 
   @Override
   public String violation() {
-    boolean both =
-        candidates[0].claimant.activeFence(candidates[0].clock) >= 0
-            && candidates[1].claimant.activeFence(candidates[1].clock) >= 0;
-    return both ? "both may act" : wrong;
+    boolean bothMayAct =
+        candidates[0].elector.activeFence(candidates[0].clock) >= 0
+            && candidates[1].elector.activeFence(candidates[1].clock) >= 0;
+    return bothMayAct ? "both candidates may act" : violation;
   }
 
   @Override
   public String stateText() {
-    StringBuilder s =
+    StringBuilder text =
         new StringBuilder()
-            .append(ticks)
+            .append(ticksLeft)
             .append(',')
-            .append(late)
-            .append(tries)
-            .append(crashes)
-            .append(restarts)
+            .append(lateMessagesLeft)
+            .append(retriesLeft)
+            .append(crashesLeft)
+            .append(restartsLeft)
             .append(actsLeft)
-            .append(gives)
+            .append(releasesLeft)
             .append(acts)
-            .append(lastTaken)
+            .append(lastAcceptedFence)
             .append(holders);
     for (Candidate c : candidates) {
-      s.append(c.state());
+      text.append(c.stateText());
     }
     String[] byVoter = new String[voters.length];
     for (int v = 0; v < voters.length; v++) {
-      StringBuilder own = new StringBuilder().append(voters[v].slots()).append(synced.get(v));
+      StringBuilder voterText = new StringBuilder().append(voters[v].slots()).append(synced.get(v));
       for (Candidate c : candidates) {
-        own.append(c.proposer.hasVoteOf(VOTERS.get(v)));
+        voterText.append(c.proposer.hasVoteOf(VOTERS.get(v)));
       }
-      write(own, questions, v);
-      write(own, lateAnswers, v);
-      byVoter[v] = own.toString();
+      appendMessages(voterText, requests, v);
+      appendMessages(voterText, lateAnswers, v);
+      byVoter[v] = voterText.toString();
     }
-    Arrays.sort(byVoter); // voters are alike: which of them it is makes no difference
-    return s.append(String.join("|", byVoter)).toString();
+    // The voters are interchangeable, so states that differ only in their order are the same.
+    Arrays.sort(byVoter);
+    return text.append(String.join("|", byVoter)).toString();
   }
 
-  private void write(StringBuilder to, List<Sent> all, int voter) {
+  private void appendMessages(StringBuilder to, List<InFlightMessage> messages, int voter) {
     to.append('/');
-    all.stream()
+    messages.stream()
         .filter(m -> m.voter == voter)
         .map(m -> m.candidate + (isAwaited(m) ? "+" : "-") + RegisterModel.text(m.message))
         .sorted()
--- a/src/main/java/umberrun/lease/sim/LeaseSimulation.java
+++ b/src/main/java/umberrun/lease/sim/LeaseSimulation.java
@@ -15,12 +15,12 @@
 import umberrun.sim.VirtualNetwork;
 
 /**
- * Voters with disks and claimants of one duty with clocks of their own on the virtual network.
- * After each step: one at most may act at any true time, and who receives the acts takes none of a
- * lower fence after one of a greater.
+ * Simulation of one duty on the virtual network: voters with disks, and electors whose clocks run
+ * at different rates. Checked after each step: at most one elector may act at any true time, and
+ * the receiver of the acts accepts none of a lower fence after one of a higher fence.
  */
 public final class LeaseSimulation {
-  /** Makes a claimant; tests put in ones that are broken on purpose. */
+  /** Creates electors; tests pass factories of deliberately faulty ones. */
   public interface Factory {
     LeaseElector make(
         LeaseElector.Settings settings,
@@ -30,15 +30,21 @@
         LeaseElector.Outbox out);
   }
 
-  /** What is done wrong on purpose, to see that it is caught. */
+  /** A deliberate fault, which the checks must detect. */
   public enum Fault {
     NONE,
+
+    /** Voters answer before their promise is on disk. */
     SKIPS_SYNC,
+
+    /** A voter votes on after it has lost its folder. */
     VOTES_WITHOUT_FOLDER,
-    TAKES_OLD_FENCES
+
+    /** The receiver of the acts ignores their fences. */
+    ACCEPTS_OLD_FENCES
   }
 
-  /** A check that does not hold. */
+  /** Thrown when a check fails. */
   public static final class InvariantViolation extends RuntimeException {
     private static final long serialVersionUID = 1;
 
@@ -50,57 +56,72 @@
   public static final LeaseElector.Settings DEFAULT_SETTINGS =
       new LeaseElector.Settings(3_000_000, 0.05, 0, 1_500_000);
   private static final String REGISTER = "duty";
-  private static final long TRY_MICROS = 600_000;
-  private static final long SYNC_MICROS = 100_000;
-  private static final int MOST_REGISTERS = 16;
-  private static final int MOST_OLD = 64;
-  private static final long ACT_MICROS = 50_000;
-
-  /** A voter and its disk. */
-  private final class Ballots {
+  private static final long ATTEMPT_TIMEOUT_MICROS = 600_000;
+  private static final long MAX_SYNC_MICROS = 100_000;
+  private static final int MAX_REGISTERS = 16;
+  private static final int MAX_OLD_MESSAGES = 64;
+  private static final long ACT_INTERVAL_MICROS = 50_000;
+
+  /** One message in so many is kept, to be delivered again much later. */
+  private static final int REPLAY_ONE_IN = 50;
+
+  /** Destination of acts: their receiver, which is not a node of the network. */
+  private static final int ACT_RECEIVER = -1;
+
+  /** A voter with its disk. */
+  private final class VoterNode {
     final int number;
     final Map<String, Voter.Slot> disk = new TreeMap<>();
-    final List<Runnable> unsynced = new ArrayList<>();
-    final Map<String, Voter.Slot> written = new TreeMap<>();
-    Voter voter = new Voter(Map.of(), MOST_REGISTERS);
+
+    /** Answers that wait for the next sync. */
+    final List<Runnable> pendingAnswers = new ArrayList<>();
+
+    /** Slots that the next sync writes to the disk. */
+    final Map<String, Voter.Slot> unsynced = new TreeMap<>();
+
+    /** Null while the voter is down, or does not vote as its folder is lost. */
+    Voter voter = new Voter(Map.of(), MAX_REGISTERS);
+
     int life;
-    boolean syncs;
+    boolean syncScheduled;
 
-    Ballots(int number) {
+    VoterNode(int number) {
       this.number = number;
     }
 
-    void receive(int from, ConsensusMessage m) {
-      Voter.VoteResult step = voter == null ? null : voter.handle(m);
-      if (step == null) {
+    void receive(int from, ConsensusMessage message) {
+      Voter.VoteResult result = voter == null ? null : voter.handle(message);
+      if (result == null) {
         return;
       }
-      if (step.slot() != null) {
-        written.put(step.register(), step.slot());
+      if (result.slot() != null) {
+        unsynced.put(result.register(), result.slot());
       }
       Runnable answer =
           () ->
               LeaseSimulation.this.send(
-                  number, from, () -> claims[from - voters.length].hear(number, step.answer()));
+                  number,
+                  from,
+                  () -> electors[from - voters.length].receive(number, result.answer()));
       if (fault == Fault.SKIPS_SYNC) {
         answer.run();
       } else {
-        unsynced.add(answer);
+        pendingAnswers.add(answer);
       }
-      if (!syncs) {
-        int mine = life;
-        syncs = true;
+      if (!syncScheduled) {
+        int scheduledLife = life;
+        syncScheduled = true;
         net.at(
             number,
-            net.now() + (long) (SYNC_MICROS * random.nextDouble()),
+            net.now() + (long) (MAX_SYNC_MICROS * random.nextDouble()),
             () -> {
-              if (life == mine) {
-                syncs = false;
-                disk.putAll(written);
-                written.clear();
-                List<Runnable> go = List.copyOf(unsynced);
+              if (life == scheduledLife) {
+                syncScheduled = false;
+                disk.putAll(unsynced);
                 unsynced.clear();
-                go.forEach(Runnable::run);
+                List<Runnable> answers = List.copyOf(pendingAnswers);
+                pendingAnswers.clear();
+                answers.forEach(Runnable::run);
               }
             });
       }
@@ -108,10 +129,10 @@
 
     void crash() {
       life++;
-      syncs = false;
+      syncScheduled = false;
       voter = null;
-      written.clear();
       unsynced.clear();
+      pendingAnswers.clear();
       net.discardPending(number);
     }
 
@@ -120,39 +141,41 @@
         disk.clear();
       }
       voter =
-          folderLost && fault != Fault.VOTES_WITHOUT_FOLDER
-              ? null
-              : new Voter(disk, MOST_REGISTERS);
+          folderLost && fault != Fault.VOTES_WITHOUT_FOLDER ? null : new Voter(disk, MAX_REGISTERS);
     }
   }
 
-  /** A claimant, its clock and its proposer. */
-  private final class Claims implements LeaseElector.Outbox, Proposer.Outbox {
+  /** An elector with its clock and its proposer. */
+  private final class ElectorNode implements LeaseElector.Outbox, Proposer.Outbox {
     final int number;
-    final double rate;
-    LeaseElector claimant;
+    final double clockRate;
+
+    /** Null while the process is down. */
+    LeaseElector elector;
+
     Proposer proposer;
-    VirtualNetwork.ScheduledTask wake;
-    VirtualNetwork.ScheduledTask wakeProposer;
+    VirtualNetwork.ScheduledTask timer;
+    VirtualNetwork.ScheduledTask retryTimer;
     int life;
 
-    Claims(int number, double rate) {
+    ElectorNode(int number, double clockRate) {
       this.number = number;
-      this.rate = rate;
+      this.clockRate = clockRate;
     }
 
     long clock() {
-      return (long) (net.now() * rate) + number * 1_000_000_007L;
+      return (long) (net.now() * clockRate) + number * 1_000_000_007L;
     }
 
-    private VirtualNetwork.ScheduledTask after(long at, Runnable what) {
-      int mine = life;
+    /** Runs a task at a time of the own clock, unless the process has ended by then. */
+    private VirtualNetwork.ScheduledTask schedule(long at, Runnable task) {
+      int scheduledLife = life;
       return net.at(
           number,
-          net.now() + (long) Math.ceil(Math.max(0, at - clock()) / rate),
+          net.now() + (long) Math.ceil(Math.max(0, at - clock()) / clockRate),
           () -> {
-            if (life == mine && claimant != null) {
-              what.run();
+            if (life == scheduledLife && elector != null) {
+              task.run();
             }
           });
     }
@@ -161,31 +184,33 @@
       life++;
       net.discardPending(number);
       long id = random.nextLong() >>> 1;
-      claimant = maker.make(settings, "c" + number, id, random.split(), this);
-      proposer = new Proposer("c" + number + "/" + id, names, TRY_MICROS, random.split(), this);
-      after(clock(), () -> claimant.start(clock()));
-      act();
+      elector = factory.make(settings, "c" + number, id, random.split(), this);
+      proposer =
+          new Proposer(
+              "c" + number + "/" + id, names, ATTEMPT_TIMEOUT_MICROS, random.split(), this);
+      schedule(clock(), () -> elector.start(clock()));
+      actPeriodically();
     }
 
     /**
-     * Acts whenever it may, with a pause of any length between the look and the act: the fence is
-     * what is left then.
+     * Periodically sends an act if the elector may act. The process may be paused for any time
+     * between that check and the act, in which case only the fence can stop it.
      */
-    private void act() {
-      after(
-          clock() + ACT_MICROS,
+    private void actPeriodically() {
+      schedule(
+          clock() + ACT_INTERVAL_MICROS,
           () -> {
-            long fence = claimant.activeFence(clock());
+            long fence = elector.activeFence(clock());
             if (fence >= 0) {
-              LeaseSimulation.this.send(number, -1, () -> accept(fence));
+              LeaseSimulation.this.send(number, ACT_RECEIVER, () -> accept(fence));
             }
-            act();
+            actPeriodically();
           });
     }
 
-    void hear(int voter, ConsensusMessage m) {
-      if (claimant != null) {
-        proposer.receive(clock(), names.get(voter), m);
+    void receive(int voter, ConsensusMessage message) {
+      if (elector != null) {
+        proposer.receive(clock(), names.get(voter), message);
         check();
       }
     }
@@ -201,16 +226,16 @@
     }
 
     @Override
-    public void send(String voter, ConsensusMessage m) {
+    public void send(String voter, ConsensusMessage message) {
       int to = names.indexOf(voter);
-      LeaseSimulation.this.send(number, to, () -> voters[to].receive(number, m));
+      LeaseSimulation.this.send(number, to, () -> voters[to].receive(number, message));
     }
 
     @Override
     public void retry(long at) {
-      cancel(wakeProposer);
-      wakeProposer =
-          after(
+      cancel(retryTimer);
+      retryTimer =
+          schedule(
               at,
               () -> {
                 proposer.onTimer(clock());
@@ -220,35 +245,35 @@
 
     @Override
     public void startTimer(long at) {
-      cancel(wake);
-      wake =
-          after(
+      cancel(timer);
+      timer =
+          schedule(
               at,
               () -> {
-                claimant.onTimer(clock());
+                elector.onTimer(clock());
                 check();
               });
     }
 
-    private static void cancel(VirtualNetwork.ScheduledTask s) {
-      if (s != null) {
-        s.cancel();
+    private static void cancel(VirtualNetwork.ScheduledTask task) {
+      if (task != null) {
+        task.cancel();
       }
     }
 
     @Override
-    public void done(RegisterValue v) {
-      claimant.onRegisterResult(clock(), v);
+    public void done(RegisterValue value) {
+      elector.onRegisterResult(clock(), value);
     }
 
     @Override
     public void onFenceChange(long fence, String cause) {
-      // seen by who may act
+      // The checks call activeFence instead.
     }
 
     void crash() {
       life++;
-      claimant = null;
+      elector = null;
       net.discardPending(number);
     }
   }
@@ -256,44 +281,48 @@
   private final VirtualNetwork net;
   private final SplittableRandom random;
   private final LeaseElector.Settings settings;
-  private final Factory maker;
+  private final Factory factory;
   private final Fault fault;
   private final List<String> names;
-  private final Ballots[] voters;
-  private final Claims[] claims;
-  private final List<Runnable> old = new ArrayList<>();
-  private long highest = -1;
-  private long lastAccepted = -1;
+  private final VoterNode[] voters;
+  private final ElectorNode[] electors;
+  private final List<Runnable> oldMessages = new ArrayList<>();
+  private long highestFence = -1;
+  private long lastAcceptedFence = -1;
 
+  /**
+   * Starts all voters and electors.
+   *
+   * @param seed of all random choices; the same seed and calls repeat a run
+   */
   public LeaseSimulation(
       int voterCount,
-      int claimants,
+      int electorCount,
       LeaseElector.Settings settings,
       long seed,
-      Factory maker,
+      Factory factory,
       Fault fault) {
     this.random = new SplittableRandom(seed);
-    this.net = new VirtualNetwork(voterCount + claimants, random.split());
+    this.net = new VirtualNetwork(voterCount + electorCount, random.split());
     this.settings = settings;
-    this.maker = maker;
+    this.factory = factory;
     this.fault = fault;
     this.names = IntStream.range(0, voterCount).mapToObj(i -> "v" + i).toList();
-    this.voters = new Ballots[voterCount];
-    this.claims = new Claims[claimants];
+    this.voters = new VoterNode[voterCount];
+    this.electors = new ElectorNode[electorCount];
     net.setLinks(0, 0.02, 200, 5_000);
     for (int i = 0; i < voterCount; i++) {
-      voters[i] = new Ballots(i);
+      voters[i] = new VoterNode(i);
     }
-    for (int i = 0;
-        i < claimants;
-        i++) { // the first clock as slow and the second as fast as may be
-      claims[i] =
-          new Claims(
+    // The first clock is as slow, and the second one as fast, as the drift bound allows.
+    for (int i = 0; i < electorCount; i++) {
+      electors[i] =
+          new ElectorNode(
               voterCount + i,
               i == 0 ? 1 - settings.clockDrift() : i == 1 ? 1 + settings.clockDrift() : 1);
     }
-    for (Claims c : claims) {
-      c.start();
+    for (ElectorNode node : electors) {
+      node.start();
     }
   }
 
@@ -302,52 +331,60 @@
   }
 
   private void send(int from, int to, Runnable arrives) {
-    if (to < 0) { // to whom the duty is about, who is always reached, but late
+    // Acts always reach their receiver, but late.
+    if (to == ACT_RECEIVER) {
       net.at(net.now() + net.delay(), arrives);
       return;
     }
     net.send(from, to, arrives);
-    if (random.nextInt(50) == 0 && old.size() < MOST_OLD) { // some come again much later
-      old.add(() -> net.send(from, to, arrives));
+    if (random.nextInt(REPLAY_ONE_IN) == 0 && oldMessages.size() < MAX_OLD_MESSAGES) {
+      oldMessages.add(() -> net.send(from, to, arrives));
     }
   }
 
-  /** What was said long ago is said again. */
+  /** Sends again some of the messages that were sent since the last replay. */
   public void replay() {
-    old.forEach(Runnable::run);
-    old.clear();
+    oldMessages.forEach(Runnable::run);
+    oldMessages.clear();
   }
 
-  public void crashVoter(int i) {
-    voters[i].crash();
+  /** Crashes a voter; it loses everything that it has not synced. */
+  public void crashVoter(int voter) {
+    voters[voter].crash();
   }
 
-  public void restartVoter(int i, boolean folderLost) {
-    if (voters[i].voter == null) {
-      voters[i].restart(folderLost);
+  /** Restarts a voter if it is down, from its disk unless its folder is lost. */
+  public void restartVoter(int voter, boolean folderLost) {
+    if (voters[voter].voter == null) {
+      voters[voter].restart(folderLost);
     }
   }
 
-  public void crash(int claimant) {
-    claims[claimant].crash();
+  /** Crashes the process of an elector. */
+  public void crashElector(int elector) {
+    electors[elector].crash();
   }
 
-  public void start(int claimant) {
-    if (claims[claimant].claimant == null) {
-      claims[claimant].start();
+  /** Starts the process of an elector if it is down. */
+  public void startElector(int elector) {
+    if (electors[elector].elector == null) {
+      electors[elector].start();
     }
   }
 
   /**
-   * How a claimant stands for the duty by its view of the others, right or wrong, and whether it is
-   * told to look.
+   * Sets the priority of an elector as its view of the fleet suggests, be that right or wrong.
+   *
+   * @param watching see {@link LeaseElector#setPriority}
+   * @param takeoverDelay see {@link LeaseElector#setPriority}
+   * @param hint whether it is also told to read the register now
    */
-  public void setPriority(int claimant, boolean close, long delay, boolean hint) {
-    Claims c = claims[claimant];
-    if (c.claimant != null && !net.isPaused(c.number)) {
-      c.claimant.setPriority(c.clock(), close, delay);
+  public void setPriority(int elector, boolean watching, long takeoverDelay, boolean hint) {
+    ElectorNode node = electors[elector];
+    if (node.elector != null && !net.isPaused(node.number)) {
+      node.elector.setPriority(node.clock(), watching, takeoverDelay);
       if (hint) {
-        c.claimant.refresh(c.clock());
+        node.elector.refresh(node.clock());
       }
     }
   }
@@ -356,55 +393,57 @@
     return voters.length;
   }
 
-  public int claimantCount() {
-    return claims.length;
+  public int electorCount() {
+    return electors.length;
   }
 
-  /** The machine of a claimant, for faults of the network. */
-  public int machine(int claimant) {
-    return claims[claimant].number;
+  /** Network node of an elector, for faults of the network. The voters are nodes 0 and up. */
+  public int node(int elector) {
+    return electors[elector].number;
   }
 
-  /** Who may act now, or -1. */
+  /** The elector that may act now, or -1. */
   public int holder() {
-    for (int i = 0; i < claims.length; i++) {
-      if (claims[i].claimant != null && claims[i].claimant.activeFence(claims[i].clock()) >= 0) {
+    for (int i = 0; i < electors.length; i++) {
+      if (electors[i].elector != null
+          && electors[i].elector.activeFence(electors[i].clock()) >= 0) {
         return i;
       }
     }
     return -1;
   }
 
+  /** Receives an act, which it refuses if it has accepted one of a higher fence. */
   private void accept(long fence) {
-    if (fence < highest && fault != Fault.TAKES_OLD_FENCES) {
+    if (fence < highestFence && fault != Fault.ACCEPTS_OLD_FENCES) {
       return;
     }
-    if (fence < lastAccepted) {
+    if (fence < lastAcceptedFence) {
       throw new InvariantViolation(
           "an act of fence "
               + fence
-              + " was taken after one of "
-              + lastAccepted
+              + " was accepted after one of "
+              + lastAcceptedFence
               + " at "
               + net.now());
     }
-    highest = Math.max(highest, fence);
-    lastAccepted = fence;
+    highestFence = Math.max(highestFence, fence);
+    lastAcceptedFence = fence;
   }
 
   private void check() {
     int holders = 0;
-    for (Claims c : claims) {
-      holders += c.claimant != null && c.claimant.activeFence(c.clock()) >= 0 ? 1 : 0;
+    for (ElectorNode node : electors) {
+      holders += node.elector != null && node.elector.activeFence(node.clock()) >= 0 ? 1 : 0;
     }
     if (holders > 1) {
-      throw new InvariantViolation(holders + " may act at " + net.now());
+      throw new InvariantViolation(holders + " electors may act at " + net.now());
     }
   }
 
-  /** Runs with a look at who may act after each step. */
-  public void run(long span) {
-    long end = net.now() + span;
+  /** Runs for some microseconds and checks after each step that at most one elector may act. */
+  public void run(long durationMicros) {
+    long end = net.now() + durationMicros;
     while (net.step(end)) {
       check();
     }
--- a/src/test/java/umberrun/lease/FaultyElectors.java
+++ b/src/test/java/umberrun/lease/FaultyElectors.java
@@ -2,39 +2,36 @@
 
 import umberrun.lease.sim.LeaseSimulation.Factory;
 
-/** Claimants that are wrong on purpose: seeds and the explorer must catch each. */
+/** Deliberately faulty electors, each of which the simulation and the model must detect. */
 final class FaultyElectors {
-  /** A holder that counts from the answer in place of the question. */
+  /** A holder that counts its lease from the answer instead of the request. */
   static final Factory COUNTS_FROM_THE_ANSWER =
-      (s, name, id, random, out) ->
-          new LeaseElector(s, name, id, random, out) {
+      (settings, name, id, random, out) ->
+          new LeaseElector(settings, name, id, random, out) {
             @Override
-            protected long leaseStart(long asked, long answered) {
-              return answered;
+            protected long leaseStart(long requestedAt, long answeredAt) {
+              return answeredAt;
             }
           };
 
-  /** One that takes a lease without the allowance for clocks that run apart. */
-  static final Factory IGNORES_RATES =
-      (s, name, id, random, out) ->
-          new LeaseElector(s, name, id, random, out) {
+  /** An elector that takes an expired lease without allowing for clock drift. */
+  static final Factory IGNORES_CLOCK_DRIFT =
+      (settings, name, id, random, out) ->
+          new LeaseElector(settings, name, id, random, out) {
             @Override
-            protected long expiresAt(Lease l) {
-              return super.expiresAt(l)
-                  - (long) (2 * s.clockDrift() * l.length())
-                  - s.takeoverPause();
+            protected long expiresAt(Lease lease) {
+              return super.expiresAt(lease)
+                  - (long) (2 * settings.clockDrift() * lease.length())
+                  - settings.takeoverPause();
             }
           };
 
-  /**
-   * A holder that counts a lease of its own from when it read it, and not from when it asked for
-   * it.
-   */
+  /** A holder that counts a lease of its own that it has read from the time of that read. */
   static final Factory COUNTS_WHAT_IT_READ =
-      (s, name, id, random, out) ->
-          new LeaseElector(s, name, id, random, out) {
+      (settings, name, id, random, out) ->
+          new LeaseElector(settings, name, id, random, out) {
             @Override
-            protected boolean isOwnLeaseValid(boolean madeNow) {
+            protected boolean isOwnLeaseValid(boolean applied) {
               return true;
             }
           };
--- a/src/test/java/umberrun/lease/LeaseSeedsTest.java
+++ b/src/test/java/umberrun/lease/LeaseSeedsTest.java
@@ -15,133 +15,162 @@
 import umberrun.lease.sim.LeaseSimulation.Factory;
 import umberrun.lease.sim.LeaseSimulation.Fault;
 
-/** One duty under faults that a seed draws, and variants broken on purpose that must be caught. */
+/** Simulates one duty under random faults, and checks that deliberate faults are detected. */
 public class LeaseSeedsTest {
-  private static final long SECOND = 1_000_000;
-  private static final long LAST = 8 * SECOND;
+  private static final long SECOND_MICROS = 1_000_000;
+
+  /** By then all restarts and resumes that a fault has scheduled are done. */
+  private static final long MAX_FAULT_MICROS = 8 * SECOND_MICROS;
 
   /**
-   * In fair times a free duty is taken within a lease, the wait of others beyond it and the time
-   * between two looks.
+   * Without faults a free duty is taken within a lease, the time that candidates wait beyond it and
+   * the time between two reads.
    */
-  private static final long BOUND = 3 * LeaseSimulation.DEFAULT_SETTINGS.length();
+  private static final long TAKEOVER_LIMIT_MICROS = 3 * LeaseSimulation.DEFAULT_SETTINGS.length();
 
-  /** Some ten faults, then fair times in which the duty must be taken. What broke, or null. */
-  static String play(long seed, Factory maker, Fault fault) {
+  /**
+   * Runs about ten faults, then a time without faults in which the duty must be taken.
+   *
+   * @return the check that failed, or null
+   */
+  static String run(long seed, Factory factory, Fault fault) {
     SplittableRandom random = new SplittableRandom(seed);
-    LeaseSimulation t =
+    LeaseSimulation simulation =
         new LeaseSimulation(
             random.nextInt(4) == 0 ? 5 : 3,
             2 + random.nextInt(3),
             LeaseSimulation.DEFAULT_SETTINGS,
             random.nextLong(),
-            maker,
+            factory,
             fault);
     try {
       for (int i = 6 + random.nextInt(10); i > 0; i--) {
-        draw(t, random, fault);
-        t.run((long) (random.nextDouble() * 4 * SECOND));
+        injectFault(simulation, random, fault);
+        simulation.run((long) (random.nextDouble() * 4 * SECOND_MICROS));
       }
-      t.run(LAST); // stops and starts that are yet to come
-      t.net().healAll();
-      t.net().setLinks(0, 0.02, 200, 5_000);
-      for (int i = 0; i < t.voterCount(); i++) {
-        t.restartVoter(i, false);
-        t.net().resume(i);
+      simulation.run(MAX_FAULT_MICROS);
+      simulation.net().healAll();
+      simulation.net().setLinks(0, 0.02, 200, 5_000);
+      for (int i = 0; i < simulation.voterCount(); i++) {
+        simulation.restartVoter(i, false);
+        simulation.net().resume(i);
       }
-      for (int i = 0; i < t.claimantCount(); i++) {
-        t.net().resume(t.machine(i));
-        t.net().setExtraDelay(t.machine(i), 0);
-        t.start(i);
-        t.setPriority(i, true, 0, false);
+      for (int i = 0; i < simulation.electorCount(); i++) {
+        simulation.net().resume(simulation.node(i));
+        simulation.net().setExtraDelay(simulation.node(i), 0);
+        simulation.startElector(i);
+        simulation.setPriority(i, true, 0, false);
       }
-      t.run(BOUND);
-      return t.holder() >= 0
+      simulation.run(TAKEOVER_LIMIT_MICROS);
+      return simulation.holder() >= 0
           ? null
-          : "seed " + seed + ": nobody has the duty after " + BOUND / SECOND + " s";
+          : "seed "
+              + seed
+              + ": nobody holds the duty after "
+              + TAKEOVER_LIMIT_MICROS / SECOND_MICROS
+              + " s";
     } catch (LeaseSimulation.InvariantViolation e) {
       return "seed " + seed + ": " + e.getMessage();
     }
   }
 
-  private static void draw(LeaseSimulation t, SplittableRandom random, Fault fault) {
-    int voter = random.nextInt(t.voterCount());
-    int who = random.nextInt(t.claimantCount());
-    int holder = t.holder();
-    int hit = holder >= 0 && random.nextBoolean() ? holder : who;
-    long later = t.net().now() + random.nextLong(6 * SECOND);
+  private static void injectFault(
+      LeaseSimulation simulation, SplittableRandom random, Fault fault) {
+    int voter = random.nextInt(simulation.voterCount());
+    int elector = random.nextInt(simulation.electorCount());
+    int holder = simulation.holder();
+    int target = holder >= 0 && random.nextBoolean() ? holder : elector;
+    long endsAt = simulation.net().now() + random.nextLong(6 * SECOND_MICROS);
     switch (random.nextInt(12)) {
-      case 0 -> { // one voter, two, or all, killed between a write and its answer and started again
-        for (int i = 0; i <= random.nextInt(t.voterCount()); i++) {
-          int v = (voter + i) % t.voterCount();
-          t.crashVoter(v);
-          t.net()
+      // One or more voters crash, perhaps between a write and its answer, and restart.
+      case 0 -> {
+        for (int i = 0; i <= random.nextInt(simulation.voterCount()); i++) {
+          int v = (voter + i) % simulation.voterCount();
+          simulation.crashVoter(v);
+          simulation
+              .net()
               .at(
-                  t.net().now() + random.nextLong(SECOND),
-                  () -> t.restartVoter(v, fault == Fault.VOTES_WITHOUT_FOLDER));
+                  simulation.net().now() + random.nextLong(SECOND_MICROS),
+                  () -> simulation.restartVoter(v, fault == Fault.VOTES_WITHOUT_FOLDER));
         }
       }
       case 1 -> {
-        t.net().pause(t.machine(hit));
-        t.net().at(later, () -> t.net().resume(t.machine(hit)));
+        simulation.net().pause(simulation.node(target));
+        simulation.net().at(endsAt, () -> simulation.net().resume(simulation.node(target)));
       }
       case 2 -> {
-        t.crash(hit);
-        t.net().at(later, () -> t.start(hit));
+        simulation.crashElector(target);
+        simulation.net().at(endsAt, () -> simulation.startElector(target));
       }
-      case 3 -> { // the holder cut off from the voters, both ways or so that its questions or their
-        // answers are lost
-        int way = random.nextInt(3);
-        for (int v = 0; v < t.voterCount(); v++) {
-          if (way != 0) {
-            t.net().cut(t.machine(hit), v);
+      // The target is cut off from the voters: both ways, or only its requests or the answers are
+      // lost.
+      case 3 -> {
+        int direction = random.nextInt(3);
+        for (int v = 0; v < simulation.voterCount(); v++) {
+          if (direction != 0) {
+            simulation.net().cut(simulation.node(target), v);
           }
-          if (way != 1) {
-            t.net().cut(v, t.machine(hit));
+          if (direction != 1) {
+            simulation.net().cut(v, simulation.node(target));
           }
         }
-        t.net().at(later, t.net()::healAll);
+        simulation.net().at(endsAt, simulation.net()::healAll);
       }
       case 4 ->
-          t.net()
-              .setLinks(0.3 * random.nextDouble(), 0.2, 200, 20_000 + random.nextLong(2 * SECOND));
-      case 5 -> t.net().setLinks(0, 0.02, 200, 5_000);
-      case 6 -> t.replay();
+          simulation
+              .net()
+              .setLinks(
+                  0.3 * random.nextDouble(), 0.2, 200, 20_000 + random.nextLong(2 * SECOND_MICROS));
+      case 5 -> simulation.net().setLinks(0, 0.02, 200, 5_000);
+      case 6 -> simulation.replay();
       case 7 -> {
-        t.net().pause(voter);
-        t.net().at(later, () -> t.net().resume(voter));
+        simulation.net().pause(voter);
+        simulation.net().at(endsAt, () -> simulation.net().resume(voter));
       }
-      case 8 -> { // the answers to one come late, and then it stands still
-        long standsAt = t.net().now() + random.nextLong(4 * SECOND);
-        t.net().setExtraDelay(t.machine(hit), 450_000);
-        t.net().at(standsAt, () -> t.net().pause(t.machine(hit)));
-        t.net()
+      // The answers to the target are late, and then it is paused.
+      case 8 -> {
+        long pausedAt = simulation.net().now() + random.nextLong(4 * SECOND_MICROS);
+        simulation.net().setExtraDelay(simulation.node(target), 450_000);
+        simulation.net().at(pausedAt, () -> simulation.net().pause(simulation.node(target)));
+        simulation
+            .net()
             .at(
-                standsAt + 4 * SECOND,
+                pausedAt + 4 * SECOND_MICROS,
                 () -> {
-                  t.net().setExtraDelay(t.machine(hit), 0);
-                  t.net().resume(t.machine(hit));
+                  simulation.net().setExtraDelay(simulation.node(target), 0);
+                  simulation.net().resume(simulation.node(target));
                 });
       }
       case 9, 10 ->
-          t.setPriority(who, random.nextBoolean(), random.nextLong(SECOND), random.nextBoolean());
-      default -> { // all voters but one killed, and the holder stopped with what they said to it
-        t.net().pause(t.machine(hit));
-        t.net().at(t.net().now() + 4 * SECOND, () -> t.net().resume(t.machine(hit)));
-        for (int i = 1; i < t.voterCount(); i++) {
-          int v = (voter + i) % t.voterCount();
-          t.crashVoter(v);
-          t.net().at(t.net().now() + random.nextLong(SECOND / 2), () -> t.restartVoter(v, false));
+          simulation.setPriority(
+              elector, random.nextBoolean(), random.nextLong(SECOND_MICROS), random.nextBoolean());
+      // The target is paused with the answers it has received, and all voters but one crash.
+      default -> {
+        simulation.net().pause(simulation.node(target));
+        simulation
+            .net()
+            .at(
+                simulation.net().now() + 4 * SECOND_MICROS,
+                () -> simulation.net().resume(simulation.node(target)));
+        for (int i = 1; i < simulation.voterCount(); i++) {
+          int v = (voter + i) % simulation.voterCount();
+          simulation.crashVoter(v);
+          simulation
+              .net()
+              .at(
+                  simulation.net().now() + random.nextLong(SECOND_MICROS / 2),
+                  () -> simulation.restartVoter(v, false));
         }
       }
     }
   }
 
-  private static String firstBroken(int seeds, Factory maker, Fault fault) {
+  /** The first violation of safety in some seeds, or null; a duty that nobody holds is none. */
+  private static String firstViolation(int seeds, Factory factory, Fault fault) {
     for (long seed = 1; seed <= seeds; seed++) {
-      String broken = play(seed, maker, fault);
-      if (broken != null && !broken.contains("nobody")) {
-        return broken;
+      String violation = run(seed, factory, fault);
+      if (violation != null && !violation.contains("nobody")) {
+        return violation;
       }
     }
     return null;
@@ -150,55 +179,52 @@
   @Test
   public void atMostOneMayActAndAFreeDutyIsTaken() {
     for (long seed = 1; seed <= 600; seed++) {
-      assertNull(play(seed, LeaseElector::new, Fault.NONE));
+      assertNull(run(seed, LeaseElector::new, Fault.NONE));
     }
   }
 
-  /** Guards the checks: a voter that answers before its promise is on disk. */
+  /** The checks must detect a voter that answers before its promise is on disk. */
   @Test
   public void aVariantThatSkipsTheSyncIsCaught() {
-    assertNotNull(firstBroken(4_000, LeaseElector::new, Fault.SKIPS_SYNC));
+    assertNotNull(firstViolation(4_000, LeaseElector::new, Fault.SKIPS_SYNC));
   }
 
-  /** Guards the checks: a voter that votes on without what it had promised. */
+  /** The checks must detect a voter that votes on after it has lost its promises. */
   @Test
   public void aVariantThatVotesAfterLosingItsFolderIsCaught() {
-    assertNotNull(firstBroken(4_000, LeaseElector::new, Fault.VOTES_WITHOUT_FOLDER));
+    assertNotNull(firstViolation(4_000, LeaseElector::new, Fault.VOTES_WITHOUT_FOLDER));
   }
 
-  /** Guards the checks: one to whom acts come, and who does not look at their fences. */
+  /** The checks must detect a receiver of acts that ignores their fences. */
   @Test
   public void aVariantThatTakesOldFencesIsCaught() {
-    String broken = firstBroken(4_000, LeaseElector::new, Fault.TAKES_OLD_FENCES);
-    assertTrue(broken, broken != null && broken.contains("fence"));
+    String violation = firstViolation(4_000, LeaseElector::new, Fault.ACCEPTS_OLD_FENCES);
+    assertTrue(violation, violation != null && violation.contains("fence"));
   }
 
-  /** Guards the checks: a holder that counts from the answer in place of the question. */
+  /** The checks must detect a holder that counts its lease from the answer. */
   @Test
   public void aVariantThatCountsFromTheAnswerIsCaught() {
-    assertNotNull(firstBroken(4_000, FaultyElectors.COUNTS_FROM_THE_ANSWER, Fault.NONE));
+    assertNotNull(firstViolation(4_000, FaultyElectors.COUNTS_FROM_THE_ANSWER, Fault.NONE));
   }
 
-  /** Guards the checks: one that takes a lease without the allowance for clocks that run apart. */
+  /** The checks must detect an elector that does not allow for clock drift. */
   @Test
   public void aVariantThatIgnoresTheRatesOfClocksIsCaught() {
-    assertNotNull(firstBroken(4_000, FaultyElectors.IGNORES_RATES, Fault.NONE));
+    assertNotNull(firstViolation(4_000, FaultyElectors.IGNORES_CLOCK_DRIFT, Fault.NONE));
   }
 
-  /**
-   * Guards the checks: a holder that counts a lease of its own from when it read it, and not from
-   * when it asked for it.
-   */
+  /** The checks must detect a holder that counts a lease from when it read it. */
   @Test
   public void aVariantThatCountsWhatItReadIsCaught() {
-    assertNotNull(firstBroken(4_000, FaultyElectors.COUNTS_WHAT_IT_READ, Fault.NONE));
+    assertNotNull(firstViolation(4_000, FaultyElectors.COUNTS_WHAT_IT_READ, Fault.NONE));
   }
 
-  /** Of a register that holds no lease nobody takes anything, and it is looked at again. */
+  /** The duty of a register whose text is not a lease is not taken; the register is read again. */
   @Test
   public void whatIsNoLeaseIsNotTaken() {
-    List<String> wants = new ArrayList<>();
-    LeaseElector c =
+    List<String> requests = new ArrayList<>();
+    LeaseElector elector =
         new LeaseElector(
             LeaseSimulation.DEFAULT_SETTINGS,
             "c",
@@ -207,27 +233,27 @@
             new LeaseElector.Outbox() {
               @Override
               public void read(long until) {
-                wants.add("read");
+                requests.add("read");
               }
 
               @Override
               public void propose(Proposer.Change change, long until) {
-                wants.add("propose");
+                requests.add("propose");
               }
 
               @Override
               public void startTimer(long at) {
-                wants.add("wake");
+                requests.add("startTimer");
               }
 
               @Override
               public void onFenceChange(long fence, String cause) {
-                wants.add("hands");
+                requests.add("onFenceChange");
               }
             });
-    c.start(0);
-    c.onRegisterResult(1, new RegisterValue(4, "spoilt"));
-    c.onTimer(LeaseSimulation.DEFAULT_SETTINGS.length());
-    assertEquals(List.of("read", "wake", "read"), wants);
+    elector.start(0);
+    elector.onRegisterResult(1, new RegisterValue(4, "corrupt"));
+    elector.onTimer(LeaseSimulation.DEFAULT_SETTINGS.length());
+    assertEquals(List.of("read", "startTimer", "read"), requests);
   }
 }
