--- a/src/main/java/umberrun/lease/sim/LeaseModel.java
+++ b/src/main/java/umberrun/lease/sim/LeaseModel.java
@@ -134,15 +134,15 @@
     }
 
     @Override
-    public void read(long requestEndsAt) {
-      this.requestEndsAt = requestEndsAt;
-      proposer.read(clock, REGISTER, requestEndsAt);
+    public void read(long until) {
+      requestEndsAt = until;
+      proposer.read(clock, REGISTER, until);
     }
 
     @Override
-    public void propose(Proposer.Change change, long requestEndsAt) {
-      this.requestEndsAt = requestEndsAt;
-      proposer.submit(clock, REGISTER, change, requestEndsAt);
+    public void propose(Proposer.Change change, long until) {
+      requestEndsAt = until;
+      proposer.submit(clock, REGISTER, change, until);
     }
 
     @Override
--- a/src/test/java/umberrun/LeaseFigures.java
+++ b/src/test/java/umberrun/LeaseFigures.java
@@ -17,36 +17,40 @@
 import umberrun.stats.Counters;
 
 /**
- * Figures for docs/leases.md, outside the build: what leases cost calls, and how many changes a
- * second voters can take.
+ * Benchmark, not part of the build: the latency of calls with and without leases, and the rate of
+ * register changes.
  */
 public final class LeaseFigures {
-  private static final int SECONDS = 10;
+  private static final int MEASURED_SECONDS = 10;
+  private static final int ROUNDS = 3;
+  private static final int PARALLEL_CHANGES = 16;
+  private static final long SETTLE_MILLIS = 3_000;
+  private static final long CHANGE_TIMEOUT_MICROS = 2_000_000;
 
   private LeaseFigures() {}
 
   public static void main(String[] args) throws Exception {
     for (int voters : new int[] {3, 5}) {
-      changes(voters);
+      measureChanges(voters);
     }
-    for (int round = 0; round < 3; round++) {
-      for (boolean on : new boolean[] {true, false}) {
-        calls(on);
+    for (int round = 0; round < ROUNDS; round++) {
+      for (boolean withLeases : new boolean[] {true, false}) {
+        measureCalls(withLeases);
       }
     }
     System.exit(0);
   }
 
-  /** Five processes that serve, with duties and probes or without. */
-  private static void calls(boolean on) throws Exception {
+  /** Measures calls through five processes, with leases and probes or without. */
+  private static void measureCalls(boolean withLeases) throws Exception {
     Map<String, Object> fleet = new TreeMap<>();
-    try (Processes p =
+    try (Processes processes =
         new Processes(
             5,
             6,
             i ->
                 new TreeMap<>(
-                    on
+                    withLeases
                         ? Map.of(
                             "fleet",
                             fleet,
@@ -60,57 +64,62 @@
                                     "probe_ms",
                                     500)))
                         : Map.of("fleet", fleet)))) {
-      p.awaitView(20, 0, 1, 2, 3, 4);
-      if (on) {
+      processes.awaitView(20, 0, 1, 2, 3, 4);
+      if (withLeases) {
         umberrun.fleet.net.FleetClient.ask(
             "127.0.0.1",
-            p.nodes.get(3).fleet,
+            processes.nodes.get(3).fleet,
             umberrun.fleet.net.FleetCodec.Frame.Kind.CALL,
             "leases found");
       }
-      Thread.sleep(TimeUnit.SECONDS.toMillis(SECONDS)); // warm
-      p.took.reset();
-      long before = votes(p);
-      long syncs = count(p, "vote_syncs=");
-      Thread.sleep(TimeUnit.SECONDS.toMillis(SECONDS));
+      // Warm-up.
+      Thread.sleep(TimeUnit.SECONDS.toMillis(MEASURED_SECONDS));
+      processes.took.reset();
+      long votesBefore = votes(processes);
+      long syncsBefore = count(processes, "vote_syncs=");
+      Thread.sleep(TimeUnit.SECONDS.toMillis(MEASURED_SECONDS));
       System.out.printf(
           "calls with leases %s: median %d us, 99th %d us, %d calls; votes %.1f a second at a voter, syncs %.1f%n",
-          on ? "on " : "off",
-          p.took.getValueAtPercentile(50),
-          p.took.getValueAtPercentile(99),
-          p.took.getTotalCount(),
-          (votes(p) - before) / (double) SECONDS,
-          (count(p, "vote_syncs=") - syncs) / (double) SECONDS);
+          withLeases ? "on " : "off",
+          processes.took.getValueAtPercentile(50),
+          processes.took.getValueAtPercentile(99),
+          processes.took.getTotalCount(),
+          (votes(processes) - votesBefore) / (double) MEASURED_SECONDS,
+          (count(processes, "vote_syncs=") - syncsBefore) / (double) MEASURED_SECONDS);
     }
-    if (on) {
+    if (withLeases) {
       Processes.deleteStateDirs();
     }
   }
 
-  private static long votes(Processes p) throws Exception {
-    return count(p, "votes=");
+  /** Votes that the first process has cast. */
+  private static long votes(Processes processes) throws Exception {
+    return count(processes, "votes=");
   }
 
-  private static long count(Processes p, String name) throws Exception {
-    int said = p.nodes.get(0).said().length();
-    p.nodes.get(0).signal("USR2");
+  /** Reads a counter of the first process from its log, 0 if the line does not have it. */
+  private static long count(Processes processes, String name) throws Exception {
+    int logLength = processes.nodes.get(0).said().length();
+    processes.nodes.get(0).signal("USR2");
     Processes.await(
-        "no counters", 10, () -> p.nodes.get(0).said().substring(said).contains("counters"));
-    String line = p.nodes.get(0).said().substring(said);
+        "no counters",
+        10,
+        () -> processes.nodes.get(0).said().substring(logLength).contains("counters"));
+    String line = processes.nodes.get(0).said().substring(logLength);
     int at = line.indexOf(" " + name);
     return at < 0 ? 0 : Long.parseLong(line.substring(at + 1 + name.length()).split("[ \\n]")[0]);
   }
 
   /**
-   * Voters with folders in one process, and 16 ways that each change a register of their own all
-   * the time.
+   * Measures changes of registers, with all voters and their folders in one process. Each of the
+   * parallel clients changes a register of its own, again and again.
    */
-  private static void changes(int voters) throws Exception {
+  private static void measureChanges(int voters) throws Exception {
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     List<String> names = IntStream.range(0, voters).mapToObj(i -> "v" + i).toList();
-    Map<String, RegisterManager> all = new TreeMap<>();
+    Map<String, RegisterManager> managers = new TreeMap<>();
     AtomicInteger done = new AtomicInteger();
-    CountDownLatch founded = new CountDownLatch(1);
+    CountDownLatch bootstrapped = new CountDownLatch(1);
     vertx.runOnContext(
         v -> {
           io.vertx.core.Context context = vertx.getOrCreateContext();
@@ -126,7 +135,7 @@
                       0,
                       null,
                       1_000);
-              all.put(
+              managers.put(
                   name,
                   new RegisterManager(
                       vertx,
@@ -140,7 +149,7 @@
                       new RegisterManager.Transport() {
                         @Override
                         public void send(String to, byte[] body) {
-                          context.runOnContext(x -> all.get(to).receive(name, body));
+                          context.runOnContext(x -> managers.get(to).receive(name, body));
                         }
 
                         @Override
@@ -152,40 +161,45 @@
               throw new java.io.UncheckedIOException(e);
             }
           }
-          all.values().forEach(RegisterManager::open);
-          vertx.setTimer(500, t -> all.get("v0").bootstrapVoters());
+          managers.values().forEach(RegisterManager::open);
+          vertx.setTimer(500, t -> managers.get("v0").bootstrapVoters());
           vertx.setPeriodic(
               100,
               t -> {
-                JsonObject told = all.get("v0").status();
-                if (told.get("epoch").getAsLong() > 0 && !told.get("busy").getAsBoolean()) {
+                JsonObject status = managers.get("v0").status();
+                if (status.get("epoch").getAsLong() > 0 && !status.get("busy").getAsBoolean()) {
                   vertx.cancelTimer(t);
-                  for (int i = 0; i < 16; i++) {
-                    change(new Clock(), all.get(names.get(i % voters)).newClient(), "r" + i, done);
+                  for (int i = 0; i < PARALLEL_CHANGES; i++) {
+                    change(
+                        new Clock(),
+                        managers.get(names.get(i % voters)).newClient(),
+                        "r" + i,
+                        done);
                   }
-                  founded.countDown();
+                  bootstrapped.countDown();
                 }
               });
         });
-    founded.await();
-    Thread.sleep(3_000);
-    int before = done.get();
-    Thread.sleep(TimeUnit.SECONDS.toMillis(SECONDS));
+    bootstrapped.await();
+    Thread.sleep(SETTLE_MILLIS);
+    int doneBefore = done.get();
+    Thread.sleep(TimeUnit.SECONDS.toMillis(MEASURED_SECONDS));
     System.out.printf(
-        "%d voters: %.0f changes a second, 16 at a time%n",
-        voters, (done.get() - before) / (double) SECONDS);
+        "%d voters: %.0f changes a second, %d at a time%n",
+        voters, (done.get() - doneBefore) / (double) MEASURED_SECONDS, PARALLEL_CHANGES);
     vertx.close();
   }
 
+  /** Changes a register, and does so again once the change has ended. */
   private static void change(
-      Clock clock, RegisterManager.RegisterClient way, String register, AtomicInteger done) {
-    way.change(
+      Clock clock, RegisterManager.RegisterClient client, String register, AtomicInteger done) {
+    client.change(
         register,
         v -> v.withText("x"),
-        clock.now() + 2_000_000,
+        clock.now() + CHANGE_TIMEOUT_MICROS,
         v -> {
           done.addAndGet(v == null ? 0 : 1);
-          change(clock, way, register, done);
+          change(clock, client, register, done);
         });
   }
 }
--- a/src/test/java/umberrun/LeaseProcessesIT.java
+++ b/src/test/java/umberrun/LeaseProcessesIT.java
@@ -32,28 +32,38 @@
 import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
- * Five processes, three of which vote, hold duties by lease; a stand-in writes down each act with
- * its fence and time.
+ * Five processes, three of which vote, hold duties by lease. A receiver of the reports of the duty
+ * {@code beacon} records each of these acts with its fence and time.
  */
 @FixMethodOrder(MethodSorters.NAME_ASCENDING)
 public class LeaseProcessesIT {
-  private static final int SIZE = 5;
+  private static final int PROCESS_COUNT = 5;
   private static final int[] ALL = {0, 1, 2, 3, 4};
-  private static final long LENGTH_MILLIS = 1_500;
+  private static final long LEASE_MILLIS = 1_500;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  /** Stands for any process where a number of a process is expected. */
+  private static final int ANY = -1;
 
   /**
-   * A lease, the wait of others, a second for the agreement, and as long again for a machine that
-   * runs much else.
+   * A lease, the wait of the other candidates, a second for consensus, and as long again for a
+   * machine under load.
    */
-  private static final long BOUND_SECONDS = 12;
+  private static final long TIMEOUT_SECONDS = 12;
 
-  /** An act as it came to the stand-in. */
-  private record Act(long atNanos, long fence, String member, String start, boolean taken) {}
+  /**
+   * An act as the receiver got it.
+   *
+   * @param member name of the process that acted
+   * @param start id that tells this process from others of the same name
+   * @param accepted false if an act of a higher fence had been received before
+   */
+  private record Act(long atNanos, long fence, String member, String start, boolean accepted) {}
 
   private static final List<Act> ACTS = Collections.synchronizedList(new ArrayList<>());
 
-  /** Fences that acted, over all voters that were founded. */
-  private static int hands;
+  /** Number of fences under which processes acted, over all bootstraps of the voters. */
+  private static int actingFences;
 
   private static HttpServer receiver;
   private static Processes fleet;
@@ -63,27 +73,27 @@
     receiver = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
     receiver.createContext(
         "/v1/beacon",
-        x -> {
-          JsonObject o =
+        exchange -> {
+          JsonObject report =
               JsonParser.parseString(
-                      new String(x.getRequestBody().readAllBytes(), StandardCharsets.UTF_8))
+                      new String(exchange.getRequestBody().readAllBytes(), StandardCharsets.UTF_8))
                   .getAsJsonObject();
-          long fence = o.get("fence").getAsLong();
-          boolean taken = ACTS.stream().noneMatch(a -> a.fence > fence);
+          long fence = report.get("fence").getAsLong();
+          boolean accepted = ACTS.stream().noneMatch(a -> a.fence > fence);
           ACTS.add(
               new Act(
                   System.nanoTime(),
                   fence,
-                  o.get("member").getAsString(),
-                  o.get("start").getAsString(),
-                  taken));
-          x.sendResponseHeaders(taken ? 204 : 409, -1);
-          x.close();
+                  report.get("member").getAsString(),
+                  report.get("start").getAsString(),
+                  accepted));
+          exchange.sendResponseHeaders(accepted ? 204 : 409, -1);
+          exchange.close();
         });
     receiver.start();
     fleet =
         new Processes(
-            SIZE,
+            PROCESS_COUNT,
             6,
             i ->
                 new TreeMap<>(
@@ -105,7 +115,7 @@
                                     "voters",
                                     List.of("n0", "n1", "n2"),
                                     "length_ms",
-                                    LENGTH_MILLIS,
+                                    LEASE_MILLIS,
                                     "state_dir",
                                     Processes.stateDir(i),
                                     "probe_ms",
@@ -114,7 +124,7 @@
                                     "127.0.0.1:" + receiver.getAddress().getPort(),
                                     "beacon_ms",
                                     50)))));
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(TIMEOUT_SECONDS, ALL);
     assertEquals("", command(3, "found"));
   }
 
@@ -123,87 +133,99 @@
     fleet.close();
     receiver.stop(0);
     Processes.deleteStateDirs();
-    assertEquals("calls without their one answer", List.of(), List.copyOf(fleet.faults));
-    assertTrue("hardly any calls: " + fleet.served, fleet.served.get() > 500);
-    noTwoActAtATime();
-    assertTrue("hardly any hands: " + hands, hands >= 4);
+    assertEquals("calls without exactly one answer", List.of(), List.copyOf(fleet.faults));
+    assertTrue("too few calls: " + fleet.served, fleet.served.get() > 500);
+    assertActsAreExclusive();
+    assertTrue("too few fences acted: " + actingFences, actingFences >= 4);
   }
 
   /**
-   * One fence is one process's; the acts of two never lie in each other's times; after a greater
-   * fence no act is taken.
+   * Checks that only one process acted under each fence, and that no act was accepted after one of
+   * a higher fence, so that the accepted acts of two fences never interleave.
    */
-  private static void noTwoActAtATime() {
-    Map<Long, String> whose = new HashMap<>();
-    long highest = -1;
+  private static void assertActsAreExclusive() {
+    Map<Long, String> actorByFence = new HashMap<>();
+    long highestFence = -1;
     int refused = 0;
-    for (Act a : List.copyOf(ACTS)) {
+    for (Act act : List.copyOf(ACTS)) {
       assertEquals(
-          "fence " + a.fence,
-          whose.computeIfAbsent(a.fence, f -> a.member + a.start),
-          a.member + a.start);
-      if (a.taken) {
-        assertTrue("fence " + a.fence + " after " + highest, a.fence >= highest);
-        highest = a.fence;
+          "fence " + act.fence,
+          actorByFence.computeIfAbsent(act.fence, f -> act.member + act.start),
+          act.member + act.start);
+      if (act.accepted) {
+        assertTrue("fence " + act.fence + " after " + highestFence, act.fence >= highestFence);
+        highestFence = act.fence;
       } else {
         refused++;
       }
     }
     assertTrue(
-        whose.size() + " hands in " + ACTS.size() + " acts, " + refused + " refused",
-        !whose.isEmpty());
-    hands += whose.size();
+        actorByFence.size() + " fences in " + ACTS.size() + " acts, " + refused + " refused",
+        !actorByFence.isEmpty());
+    actingFences += actorByFence.size();
   }
 
+  /** Undoes the faults of the test before. */
   @Before
-  public void whole() throws Exception {
+  public void heal() throws Exception {
     fleet.eachWay(Relay::heal);
     for (Processes.Node n : fleet.nodes) {
       n.disturbed = false;
     }
-    fleet.awaitView(BOUND_SECONDS, ALL);
-    awaitHolder(-1);
+    fleet.awaitView(TIMEOUT_SECONDS, ALL);
+    awaitHolder(ANY);
   }
 
   private static Processes.Node node(int i) {
     return fleet.nodes.get(i);
   }
 
+  /** Sends an operator's call to a process. */
   private static JsonObject call(int at, String words) throws IOException {
     return JsonParser.parseString(
             FleetClient.ask("127.0.0.1", node(at).fleet, Frame.Kind.CALL, "leases " + words))
         .getAsJsonObject();
   }
 
-  /** Has something done about the voters; why it was not, or nothing. */
+  /**
+   * Runs a command on the set of voters and waits for its end.
+   *
+   * @return why it failed, or an empty string
+   */
   private static String command(int at, String words) throws Exception {
-    JsonObject o = call(at, words);
-    if (o.has("fault")) {
-      return o.get("fault").getAsString();
+    JsonObject answer = call(at, words);
+    if (answer.has("fault")) {
+      return answer.get("fault").getAsString();
     }
     Processes.await(
         words + " does not end", 30, () -> !call(at, "voters").get("busy").getAsBoolean());
-    o = call(at, "voters");
-    return o.has("not_done") ? o.get("not_done").getAsString() : "";
+    answer = call(at, "voters");
+    return answer.has("not_done") ? answer.get("not_done").getAsString() : "";
   }
 
+  /** Status of a duty as a process reports it. */
   private static JsonObject duty(int at, String name) throws IOException {
-    JsonArray all = call(at, "show").getAsJsonArray("duties");
-    for (JsonElement e : all) {
+    JsonArray duties = call(at, "show").getAsJsonArray("duties");
+    for (JsonElement e : duties) {
       if (e.getAsJsonObject().get("duty").getAsString().equals(name)) {
         return e.getAsJsonObject();
       }
     }
-    throw new AssertionError(all);
+    throw new AssertionError(duties);
   }
 
-  /** Waits until somebody but one acts, and has done so just now; who. */
-  private static int awaitHolder(int but) throws Exception {
-    int[] found = {-1};
+  /**
+   * Waits until the newest act is from now on, was accepted and is not from a given process.
+   *
+   * @param excluded number of that process, or {@link #ANY} to accept any holder
+   * @return number of the process that acted
+   */
+  private static int awaitHolder(int excluded) throws Exception {
+    int[] found = {ANY};
     int before = ACTS.size();
     Processes.await(
         "nobody acts",
-        BOUND_SECONDS,
+        TIMEOUT_SECONDS,
         () -> {
           int last = ACTS.size() - 1;
           if (last < before) {
@@ -211,113 +233,127 @@
           }
           Act a = ACTS.get(last);
           found[0] = Integer.parseInt(a.member.substring(1));
-          return a.taken && found[0] != but;
+          return a.accepted && found[0] != excluded;
         });
     return found[0];
   }
 
-  /** How long nobody acted before the first act of another than one, in milliseconds. */
-  private static long gapMillis(String before) {
+  /**
+   * Time between the last act of a process and the next one of another process, in milliseconds, or
+   * -1 if there is no such pair of acts.
+   */
+  private static long gapMillis(String previousStart) {
     List<Act> acts = List.copyOf(ACTS);
-    long last = -1;
+    long gap = -1;
     for (int i = acts.size() - 1; i > 0; i--) {
-      if (!acts.get(i).start.equals(before) && acts.get(i - 1).start.equals(before)) {
-        last = (acts.get(i).atNanos - acts.get(i - 1).atNanos) / 1_000_000;
+      if (!acts.get(i).start.equals(previousStart) && acts.get(i - 1).start.equals(previousStart)) {
+        gap = (acts.get(i).atNanos - acts.get(i - 1).atNanos) / NANOS_PER_MILLI;
         break;
       }
     }
-    return last;
+    return gap;
   }
 
+  /** Start id of the process that acted last. */
   private static String holderStart() {
     return ACTS.get(ACTS.size() - 1).start;
   }
 
+  /** Prints a duration that a test has measured. */
   private static int figure(String what, long millis) {
-    assertTrue(what + ": no change of hands was seen", millis >= 0);
+    assertTrue(what + ": no change of holder was seen", millis >= 0);
     System.out.println("leases: " + what + " " + millis + " ms");
     return (int) millis;
   }
 
   /**
-   * Stopped past its lease, in the middle of its acts: another has it by then, and what it does
-   * once it goes on is refused or not done.
+   * A holder that is suspended past its lease: another has taken the duty by then, and acts of the
+   * first after it resumes are refused or not sent.
    */
   @Test
   public void aStoppedHolderActsNoMore() throws Exception {
-    int holder = awaitHolder(-1);
+    int holder = awaitHolder(ANY);
     String start = holderStart();
     node(holder).signal("STOP");
     int next = awaitHolder(holder);
     figure("stopped, without a holder for", gapMillis(start));
     int before = ACTS.size();
     node(holder).signal("CONT");
-    Processes.await("the next one does not go on", BOUND_SECONDS, () -> ACTS.size() > before + 20);
+    Processes.await(
+        "the next holder does not act on", TIMEOUT_SECONDS, () -> ACTS.size() > before + 20);
     for (Act a : List.copyOf(ACTS).subList(before, ACTS.size())) {
-      assertFalse(a + " of the one that was stopped", a.taken && a.start.equals(start));
+      assertFalse(a + " of the suspended holder", a.accepted && a.start.equals(start));
     }
     assertTrue(next != holder);
   }
 
+  /** A killed holder is replaced once its lease has expired. */
   @Test
   public void aKilledHolderIsFollowedWithinALeaseAndASecond() throws Exception {
-    int holder = awaitHolder(-1);
+    int holder = awaitHolder(ANY);
     String start = holderStart();
     node(holder).kill();
     awaitHolder(holder);
-    assertTrue(figure("killed, without a holder for", gapMillis(start)) < 4 * LENGTH_MILLIS);
+    assertTrue(figure("killed, without a holder for", gapMillis(start)) < 4 * LEASE_MILLIS);
     node(holder).start();
     Processes.awaitReady(node(holder).door);
   }
 
   /**
-   * Cut off from all others, and not from those to whom it acts: it stops by itself before another
-   * begins.
+   * A holder that is cut off from all other processes, but not from the receiver of its acts, stops
+   * before another one starts. The cut is in both directions first, then in one.
    */
   @Test
   public void aHolderThatIsCutOffStopsInTime() throws Exception {
-    for (boolean back : new boolean[] {true, false}) {
-      int holder = awaitHolder(-1);
+    for (boolean bothWays : new boolean[] {true, false}) {
+      int holder = awaitHolder(ANY);
       String start = holderStart();
       for (int i : ALL) {
         if (i != holder) {
           fleet.cut(holder, i, true);
-          fleet.cut(i, holder, back); // one way alone: what it asks is lost, what others say is not
+          // Otherwise only the requests of the holder are lost, and it still hears the others.
+          fleet.cut(i, holder, bothWays);
         }
       }
       awaitHolder(holder);
-      assertTrue(figure("cut off, without a holder for", gapMillis(start)) < 4 * LENGTH_MILLIS);
-      int at = ACTS.size();
+      assertTrue(figure("cut off, without a holder for", gapMillis(start)) < 4 * LEASE_MILLIS);
+      int actsBefore = ACTS.size();
       fleet.eachWay(Relay::heal);
-      fleet.awaitView(BOUND_SECONDS, ALL);
-      for (Act a : List.copyOf(ACTS).subList(at, ACTS.size())) {
+      fleet.awaitView(TIMEOUT_SECONDS, ALL);
+      for (Act a : List.copyOf(ACTS).subList(actsBefore, ACTS.size())) {
         assertFalse(a.toString(), a.start.equals(start));
       }
     }
   }
 
-  /** Drained, told by hand or replaced: the duty is given back and taken at once. */
+  /**
+   * A holder that is told to release the duty, or is replaced by an upgrade, gives it back at once.
+   */
   @Test
   public void whatIsGivenBackIsTakenAtOnce() throws Exception {
-    int holder = awaitHolder(-1);
+    int holder = awaitHolder(ANY);
     String start = holderStart();
     for (int i = Integer.getInteger("releases", 3); i > 0; i--) {
-      call((holder + 1) % SIZE, "release beacon"); // at another's door
+      // The call goes to a process that does not hold the duty.
+      call((holder + 1) % PROCESS_COUNT, "release beacon");
       int next = awaitHolder(holder);
       figure("released, without a holder for", gapMillis(start));
       holder = next;
       start = holderStart();
     }
     node(holder).upgrade();
-    String elder = start;
-    Processes.await("the elder acts on", BOUND_SECONDS, () -> !holderStart().equals(elder));
+    String replacedStart = start;
+    Processes.await(
+        "the replaced process acts on",
+        TIMEOUT_SECONDS,
+        () -> !holderStart().equals(replacedStart));
     figure("replaced, without a holder for", gapMillis(start));
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(TIMEOUT_SECONDS, ALL);
   }
 
   /**
-   * One voter of three down, all goes on; two, and the holder stops in time while calls go on;
-   * back, all is as before.
+   * Duties go on with one of three voters down. With two down the holder stops in time while calls
+   * go on.
    */
   @Test
   public void withoutAMajorityNobodyActs() throws Exception {
@@ -326,18 +362,18 @@
     node(1).kill();
     long killed = System.nanoTime();
     Processes.await(
-        "somebody acts on without a majority",
-        BOUND_SECONDS,
+        "a process still acts without a majority",
+        TIMEOUT_SECONDS,
         () -> {
           Act last = ACTS.get(ACTS.size() - 1);
-          return System.nanoTime() - last.atNanos > 1_000_000L * LENGTH_MILLIS;
+          return System.nanoTime() - last.atNanos > NANOS_PER_MILLI * LEASE_MILLIS;
         });
     Act last = ACTS.get(ACTS.size() - 1);
     assertTrue(
-        "acted for " + (last.atNanos - killed) / 1_000_000 + " ms",
-        last.atNanos - killed < 1_000_000L * 2 * LENGTH_MILLIS);
+        "acted for " + (last.atNanos - killed) / NANOS_PER_MILLI + " ms",
+        last.atNanos - killed < NANOS_PER_MILLI * 2 * LEASE_MILLIS);
     int served = fleet.served.get();
-    Processes.await("calls do not go on", BOUND_SECONDS, () -> fleet.served.get() > served + 50);
+    Processes.await("calls do not go on", TIMEOUT_SECONDS, () -> fleet.served.get() > served + 50);
     node(0).start();
     node(1).start();
     Processes.awaitReady(node(0).door);
@@ -345,8 +381,8 @@
   }
 
   /**
-   * A folder cut short is not voted on, and said so; the voter comes back with a new one by a
-   * command, while duties go on.
+   * A voter whose folder is truncated does not vote and reports why. A command lets it vote again
+   * with a new folder, while duties go on.
    */
   @Test
   public void aVoterThatLostItsFolderComesBackByCommand() throws Exception {
@@ -360,82 +396,86 @@
     node(2).start();
     Processes.awaitReady(node(2).door);
     Processes.await(
-        "it votes, or does not say why",
-        BOUND_SECONDS,
+        "it votes, or does not report why not",
+        TIMEOUT_SECONDS,
         () -> !call(2, "voters").get("why_not").getAsString().isEmpty());
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(TIMEOUT_SECONDS, ALL);
     String before = call(0, "voters").get("voters").toString();
     assertEquals("", command(1, "replace n2 n2"));
     String after = call(1, "voters").get("voters").toString();
     assertTrue(
         before + after,
         !after.equals(before) && after.contains("n2#") && after.split(",").length == 3);
-    awaitHolder(-1);
+    awaitHolder(ANY);
     Processes.await(
         "it does not vote",
-        BOUND_SECONDS,
+        TIMEOUT_SECONDS,
         () -> call(2, "voters").get("why_not").getAsString().isEmpty());
   }
 
-  /** A voter is replaced by another while a lease is renewed: nobody loses it. */
+  /** A voter is replaced by another while a lease is renewed: the holder keeps the lease. */
   @Test
   public void aVoterIsReplacedWhileALeaseIsRenewed() throws Exception {
-    awaitHolder(-1);
+    awaitHolder(ANY);
     long fence = ACTS.get(ACTS.size() - 1).fence;
     assertEquals("", command(4, "replace n0 n3"));
     assertTrue(command(4, "replace n0 n3").contains("does not vote"));
     int before = ACTS.size();
-    Processes.await("nobody acts", BOUND_SECONDS, () -> ACTS.size() > before + 40);
-    assertEquals("it changed hands", fence, ACTS.get(ACTS.size() - 1).fence);
+    Processes.await("nobody acts", TIMEOUT_SECONDS, () -> ACTS.size() > before + 40);
+    assertEquals("the holder has changed", fence, ACTS.get(ACTS.size() - 1).fence);
     assertEquals("", command(2, "replace n3 n0"));
   }
 
   /**
-   * Who orders a replacement is killed in the middle of it: the voters go on with it by themselves.
+   * The process that runs the replacement of a voter is killed in the middle of it: another one
+   * completes the replacement.
    */
   @Test
   public void aReplacementWhoseCommandDiedIsGoneOnWith() throws Exception {
-    fleet.eachWay(r -> r.delayMillis = 250); // so that the middle lasts
+    // Slows the replacement down, so that the kill comes in the middle of it.
+    fleet.eachWay(r -> r.delayMillis = 250);
     assertFalse(call(4, "replace n2 n3").has("fault"));
     Processes.await(
-        "it does not begin",
-        BOUND_SECONDS,
+        "the replacement does not start",
+        TIMEOUT_SECONDS,
         () -> !call(0, "voters").get("leaving").getAsString().isEmpty());
     node(4).kill();
     fleet.eachWay(Relay::heal);
     Processes.await(
-        "nobody goes on with it",
-        4 * BOUND_SECONDS,
+        "nobody completes the replacement",
+        4 * TIMEOUT_SECONDS,
         () -> call(0, "voters").get("leaving").getAsString().isEmpty());
     String voters = call(0, "voters").get("voters").toString();
     assertTrue(voters, voters.contains("n3#") && !voters.contains("n2#"));
     assertTrue(
-        "nobody says so",
-        fleet.nodes.stream().anyMatch(n -> says(n, "goes on with the replacement of n2#")));
+        "no log mentions it",
+        fleet.nodes.stream().anyMatch(n -> logged(n, "goes on with the replacement of n2#")));
     node(4).start();
     Processes.awaitReady(node(4).door);
     assertEquals("", command(1, "replace n3 n2"));
   }
 
-  private static boolean says(Processes.Node n, String what) {
+  /** Whether a process has logged a text. */
+  private static boolean logged(Processes.Node n, String text) {
     try {
-      return n.said().contains(what);
+      return n.said().contains(text);
     } catch (IOException e) {
       throw new java.io.UncheckedIOException(e);
     }
   }
 
   /**
-   * All folders put aside: nobody votes and calls go on, until a set is founded anew; receivers
-   * begin anew with it.
+   * With all folders lost nobody votes and no duty is held, but calls go on, until a new set of
+   * voters is created. Fences start again with it, so receivers must forget the old ones.
    */
   @Test
   public void withAllFoldersGoneVotersAreFoundedAnew() throws Exception {
-    noTwoActAtATime();
+    assertActsAreExclusive();
     for (Processes.Node n : fleet.nodes) {
       n.kill();
     }
-    for (int i : ALL) { // also of those that have voted only for a while: they know of voters
+    // Also the folders of processes that voted only for a while, as these know the voters.
+    for (int i : ALL) {
       Path folder = Path.of(Processes.stateDir(i));
       if (Files.exists(folder)) {
         Files.move(folder, folder.resolveSibling("aside" + i));
@@ -447,19 +487,20 @@
     for (Processes.Node n : fleet.nodes) {
       Processes.awaitReady(n.door);
     }
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(TIMEOUT_SECONDS, ALL);
     assertFalse(call(0, "voters").get("why_not").getAsString().isEmpty());
     int served = fleet.served.get();
     int acts = ACTS.size();
-    Processes.await("calls do not go on", BOUND_SECONDS, () -> fleet.served.get() > served + 50);
-    assertEquals("somebody acts without voters", acts, ACTS.size());
-    ACTS.clear(); // as a restart of the receiver does: it would refuse fences that begin anew
+    Processes.await("calls do not go on", TIMEOUT_SECONDS, () -> fleet.served.get() > served + 50);
+    assertEquals("a process acts without voters", acts, ACTS.size());
+    // As a restart of the receiver does, which would otherwise refuse the new, lower fences.
+    ACTS.clear();
     assertEquals("", command(4, "found"));
-    awaitHolder(-1);
+    awaitHolder(ANY);
   }
 
   /**
-   * All killed at once and started again: what was agreed still is, and the next fence is greater.
+   * After all processes were killed and restarted, the registers are intact and the fence grows.
    */
   @Test
   public void allKilledAtOnceComeBack() throws Exception {
@@ -473,42 +514,49 @@
     for (Processes.Node n : fleet.nodes) {
       Processes.awaitReady(n.door);
     }
-    fleet.awaitView(BOUND_SECONDS, ALL);
-    awaitHolder(-1);
+    fleet.awaitView(TIMEOUT_SECONDS, ALL);
+    awaitHolder(ANY);
     assertTrue(ACTS.get(ACTS.size() - 1).fence > fence);
     assertTrue(call(4, "register duty/beacon").get("text").getAsString().contains("n"));
   }
 
-  /** The hall's prober finds a worker that says nothing, and one that is back, for all. */
+  /** One process probes a hall's workers for all, which then all bench a silent worker. */
   @Test
   public void aSilentWorkerIsFoundByOneForAll() throws Exception {
     for (String hall : List.of("hall-a", "hall-b", "hall-c")) {
       Processes.await(
           "nobody probes " + hall,
-          BOUND_SECONDS,
+          TIMEOUT_SECONDS,
           () -> !duty(0, "probe/" + hall).get("holder").getAsString().isEmpty());
     }
-    Scenario.Worker worker = fleet.workers.get(0); // in hall-a
-    int before = worker.probes.get();
-    int acts = ACTS.size();
-    Processes.await("it is not probed", BOUND_SECONDS, () -> worker.probes.get() > before + 20);
-    int probed = worker.probes.get() - before;
+    // This worker is in hall-a.
+    Scenario.Worker worker = fleet.workers.get(0);
+    int probesBefore = worker.probes.get();
+    int actsBefore = ACTS.size();
+    Processes.await(
+        "it is not probed", TIMEOUT_SECONDS, () -> worker.probes.get() > probesBefore + 20);
+    int probed = worker.probes.get() - probesBefore;
     assertTrue(
-        probed + " probes beside " + (ACTS.size() - acts) + " acts twice as often",
-        probed < 1.5 * (ACTS.size() - acts));
-    int[] said = new int[SIZE];
+        probed
+            + " probes during "
+            + (ACTS.size() - actsBefore)
+            + " acts, which are twice as frequent",
+        probed < 1.5 * (ACTS.size() - actsBefore));
+    int[] logLengths = new int[PROCESS_COUNT];
     for (int i : ALL) {
-      said[i] = node(i).said().length();
+      logLengths[i] = node(i).said().length();
     }
     worker.silent = true;
-    long fell = System.nanoTime();
+    long silentSince = System.nanoTime();
     for (int i : ALL) {
       Processes.await(
           "n" + i + " does not bench it",
-          BOUND_SECONDS,
-          () -> node(i).said().substring(said[i]).contains("benched"));
+          TIMEOUT_SECONDS,
+          () -> node(i).said().substring(logLengths[i]).contains("benched"));
     }
-    figure("all five had benched a silent worker after", (System.nanoTime() - fell) / 1_000_000);
+    figure(
+        "all five had benched a silent worker after",
+        (System.nanoTime() - silentSince) / NANOS_PER_MILLI);
     worker.silent = false;
   }
 }
--- a/src/test/java/umberrun/LeaseScenariosTest.java
+++ b/src/test/java/umberrun/LeaseScenariosTest.java
@@ -23,14 +23,14 @@
 import umberrun.lease.FenceRegistry;
 import umberrun.lease.HallHealthMonitor;
 
-/** Settings of leases, and their smaller decisions each by itself. */
+/** Lease settings, candidate ranking, fences, worker health and the bootstrap of voters. */
 public class LeaseScenariosTest {
   private static final String FLEET = "\"fleet\":{\"name\":\"yard\",\"listen\":\"127.0.0.1:1\"}";
 
-  /** Each bad setting is one plain line that names it. */
+  /** Each invalid setting is refused with one line that names it. */
   @Test
   public void badSettingsAreNamed() throws Exception {
-    String three = "\"voters\":[\"b0\",\"b1\",\"b2\"]";
+    String threeVoters = "\"voters\":[\"b0\",\"b1\",\"b2\"]";
     for (Map.Entry<String, String> bad :
         Map.of(
                 "{}",
@@ -43,24 +43,25 @@
                 "each once",
                 "{\"voters\":[\"a\",\"b\",\"c#\"]}",
                 "c#",
-                "{" + three + "}",
+                "{" + threeVoters + "}",
                 "leases.state_dir",
-                "{" + three + ",\"state_dir\":\"/tmp/x\",\"length_ms\":300}",
+                "{" + threeVoters + ",\"state_dir\":\"/tmp/x\",\"length_ms\":300}",
                 "leases.length_ms",
-                "{" + three + ",\"state_dir\":\"/tmp/x\",\"rate\":0.5}",
+                "{" + threeVoters + ",\"state_dir\":\"/tmp/x\",\"rate\":0.5}",
                 "leases.rate",
-                "{" + three + ",\"state_dir\":\"/tmp/x\",\"probe_ms\":5}",
+                "{" + threeVoters + ",\"state_dir\":\"/tmp/x\",\"probe_ms\":5}",
                 "leases.probe_ms",
-                "{" + three + ",\"state_dir\":\"/tmp/x\",\"lenght_ms\":3000}",
+                "{" + threeVoters + ",\"state_dir\":\"/tmp/x\",\"lenght_ms\":3000}",
                 "leases.lenght_ms")
             .entrySet()) {
       assertTrue(
-          bad.getKey(), refused(FLEET + ",\"leases\":" + bad.getKey()).contains(bad.getValue()));
+          bad.getKey(), refusalOf(FLEET + ",\"leases\":" + bad.getKey()).contains(bad.getValue()));
     }
-    assertTrue(refused("\"leases\":{" + three + "}").contains("fleet"));
+    assertTrue(refusalOf("\"leases\":{" + threeVoters + "}").contains("fleet"));
   }
 
-  private static String refused(String sections) throws Exception {
+  /** The message with which a file of these sections is refused. */
+  private static String refusalOf(String sections) throws Exception {
     Path file = Files.writeString(Files.createTempFile("operator", ".json"), "{" + sections + "}");
     Path config =
         Files.writeString(
@@ -69,18 +70,21 @@
                 + "\"changelog\":\"127.0.0.1:1\",\"settings\":"
                 + Scenario.SETTINGS
                 + "}");
-    InvalidConfig e =
+    InvalidConfig refusal =
         assertThrows(
             InvalidConfig.class,
             () ->
                 Config.read(
                     Map.of(
                         "EDGE_CONFIG", config.toString(), "UMBERRUN_OPERATOR", file.toString())));
-    assertFalse(e.getMessage(), e.getMessage().contains("\n"));
-    return e.getMessage();
+    assertFalse(refusal.getMessage(), refusal.getMessage().contains("\n"));
+    return refusal.getMessage();
   }
 
-  /** Near before far, few duties before many, nobody who is not fit; all come to the same order. */
+  /**
+   * The duty's hall comes before others, few duties before many, and the ineligible never; the
+   * order of the input does not matter.
+   */
   @Test
   public void candidatesTakeTurns() {
     List<Candidate> all =
@@ -93,123 +97,127 @@
                 new Candidate("e", "z", true, 0)));
     assertEquals(0, CandidateRanking.rank("probe/y", "y", "c", all));
     assertEquals(1, CandidateRanking.rank("probe/y", "y", "b", all));
-    assertEquals("not fit", all.size(), CandidateRanking.rank("probe/y", "y", "d", all));
-    List<Integer> places =
+    assertEquals("not eligible", all.size(), CandidateRanking.rank("probe/y", "y", "d", all));
+    List<Integer> ranks =
         all.stream().map(c -> CandidateRanking.rank("beacon", "", c.name(), all)).sorted().toList();
-    assertEquals(List.of(0, 1, 2, 3, 5), places);
+    assertEquals(List.of(0, 1, 2, 3, 5), ranks);
     java.util.Collections.shuffle(all, new java.util.Random(5));
     assertEquals(0, CandidateRanking.rank("probe/y", "y", "c", all));
   }
 
   /**
-   * Before the register was read no act is taken; afterwards none that is older than one that was,
-   * or than what was read.
+   * Before the register has been read no act is accepted; afterwards none whose fence is lower than
+   * that of an accepted act or that of the register.
    */
   @Test
   public void oldActsAreRefusedAlsoAfterARestart() {
-    FenceRegistry f = new FenceRegistry();
-    assertFalse(f.accept("d", 7));
-    f.observe("d", 5);
-    assertFalse(f.accept("d", 4));
-    assertTrue(f.accept("d", 7));
-    f.observe("d", 6); // an answer that was long on its way
-    assertFalse(f.accept("d", 6));
-    assertTrue(f.accept("d", 7));
+    FenceRegistry fences = new FenceRegistry();
+    assertFalse(fences.accept("d", 7));
+    fences.observe("d", 5);
+    assertFalse(fences.accept("d", 4));
+    assertTrue(fences.accept("d", 7));
+    // A delayed answer to an earlier read.
+    fences.observe("d", 6);
+    assertFalse(fences.accept("d", 6));
+    assertTrue(fences.accept("d", 7));
   }
 
   /**
-   * One lost answer is none yet, two in a row are; one answer ends it. Who is gone from the list is
-   * forgotten.
+   * Two probes in a row without an answer make a worker failing, and one answer ends that. A worker
+   * that is no longer listed is forgotten.
    */
   @Test
   public void aHallIsJudgedByAnswers() {
-    HallHealthMonitor w = new HallHealthMonitor(100);
+    HallHealthMonitor monitor = new HallHealthMonitor(100);
     List<String> names = List.of("a", "b", "c", "d");
     long now = 1_000;
     for (int round = 0; round < 6; round++, now += 100) {
       for (long t = now; t < now + 100; t += 10) {
-        for (String n : w.workersToProbe(t, names)) {
-          w.recordProbe(n, n.equals("c") ? 30_000 : 2_500, !n.equals("b"));
+        for (String n : monitor.workersToProbe(t, names)) {
+          monitor.recordProbe(n, n.equals("c") ? 30_000 : 2_500, !n.equals("b"));
         }
       }
     }
-    Map<String, HallHealthMonitor.HealthReading> seen = new java.util.TreeMap<>();
-    w.changes().forEach(r -> seen.put(r.worker(), r));
-    assertEquals(java.util.Set.of("b", "c"), seen.keySet());
-    assertEquals(1, seen.get("b").failureRate(), 0);
+    Map<String, HallHealthMonitor.HealthReading> readings = new java.util.TreeMap<>();
+    monitor.changes().forEach(r -> readings.put(r.worker(), r));
+    assertEquals(java.util.Set.of("b", "c"), readings.keySet());
+    assertEquals(1, readings.get("b").failureRate(), 0);
     assertTrue(
-        seen.get("c").toString(),
-        seen.get("c").latencyRatio() > 3 && seen.get("c").failureRate() == 0);
-    assertEquals(1, w.failingCount());
-    for (String n : w.workersToProbe(now + 100, names)) {
-      w.recordProbe(n, 2_500, true);
+        readings.get("c").toString(),
+        readings.get("c").latencyRatio() > 3 && readings.get("c").failureRate() == 0);
+    assertEquals(1, monitor.failingCount());
+    for (String n : monitor.workersToProbe(now + 100, names)) {
+      monitor.recordProbe(n, 2_500, true);
     }
-    assertTrue(w.changes().stream().anyMatch(r -> r.worker().equals("b") && r.failureRate() == 0));
-    w.workersToProbe(now + 200, List.of("a"));
-    w.recordProbe("b", 1, true);
-    assertEquals(List.of(), w.changes());
+    assertTrue(
+        monitor.changes().stream().anyMatch(r -> r.worker().equals("b") && r.failureRate() == 0));
+    monitor.workersToProbe(now + 200, List.of("a"));
+    monitor.recordProbe("b", 1, true);
+    assertEquals(List.of(), monitor.changes());
   }
 
   /**
-   * All must answer, none may know of voters, and all must name the same; a second founding comes
-   * to the same set.
+   * A bootstrap needs an answer of all voters, and fails if one of them knows other voters already
+   * or has others configured.
    */
   @Test
   public void aFoundingNeedsAllOfThem() {
     for (String fault : List.of("", "its file names other voters", "voted")) {
-      List<String> ended = new ArrayList<>();
-      VoterBootstrap[] f = new VoterBootstrap[1];
-      f[0] =
+      List<String> results = new ArrayList<>();
+      VoterBootstrap[] bootstrap = new VoterBootstrap[1];
+      bootstrap[0] =
           new VoterBootstrap(
               List.of("c", "a", "b"),
               1_000_000,
               new VoterBootstrap.Outbox() {
                 @Override
-                public void send(String to, ConsensusMessage m) {
+                public void send(String to, ConsensusMessage message) {
                   answers.add(
                       () ->
-                          f[0].receive(
+                          bootstrap[0].receive(
                               1,
                               to,
-                              m instanceof ConsensusMessage.VoterQuery a
+                              message instanceof ConsensusMessage.VoterQuery query
                                   ? new ConsensusMessage.VoterDescription(
-                                      m.op(),
-                                      a.make() ? to + "#1" : "",
+                                      message.op(),
+                                      query.make() ? to + "#1" : "",
                                       to.equals("b") && fault.equals("voted")
                                           ? VoterSet.first(List.of("b#9"))
                                           : VoterSet.UNKNOWN,
                                       to.equals("b") && !fault.equals("voted") ? fault : "")
-                                  : new ConsensusMessage.Installed(m.op())));
+                                  : new ConsensusMessage.Installed(message.op())));
                 }
 
                 @Override
                 public void startTimer(long at) {
-                  // not played here
+                  // Every message is answered, so no timer is needed.
                 }
 
                 @Override
-                public void completed(VoterSet founded, String why) {
-                  ended.add(founded == null ? why : founded.text());
+                public void completed(VoterSet voters, String reason) {
+                  results.add(voters == null ? reason : voters.text());
                 }
 
                 private final List<Runnable> answers = queue;
               });
       queue.clear();
-      f[0].start(0);
+      bootstrap[0].start(0);
       while (!queue.isEmpty()) {
         queue.remove(0).run();
       }
-      assertEquals(1, ended.size());
+      assertEquals(1, results.size());
       assertTrue(
-          ended.toString(),
+          results.toString(),
           fault.isEmpty()
-              ? ended.get(0).equals("1 a#1,b#1,c#1 - -")
-              : ended.get(0).startsWith("b"));
+              ? results.get(0).equals("1 a#1,b#1,c#1 - -")
+              : results.get(0).startsWith("b"));
     }
   }
 
+  /** Answers of the voters that are not delivered yet. */
   private final List<Runnable> queue = new ArrayList<>();
 
+  /** The text of a set of voters parses to an equal set. */
   @Test
   public void aSetOfVotersIsReadAsItWasWritten() {
     SplittableRandom random = new SplittableRandom(1);
@@ -219,13 +227,13 @@
               .ints(random.nextInt(1, 6), 0, 99)
               .mapToObj(n -> "n" + n + "#" + Integer.toHexString(n))
               .toList();
-      VoterSet v =
+      VoterSet voters =
           new VoterSet(
               random.nextLong(1, 99),
               keys,
               random.nextBoolean() ? keys.get(0) : "",
               random.nextBoolean() ? keys : List.of());
-      assertEquals(v, VoterSet.parse(v.text()));
+      assertEquals(voters, VoterSet.parse(voters.text()));
     }
     assertArrayEquals(new Object[] {VoterSet.UNKNOWN}, new Object[] {VoterSet.parse("")});
   }
