--- a/src/main/java/umberrun/works/FrontEndReport.java
+++ b/src/main/java/umberrun/works/FrontEndReport.java
@@ -14,8 +14,8 @@
  * @param resumed machines of plans that an operator resumed manually at this front end
  * @param inFlight calls in flight at each machine
  * @param copies functions in use, each with the machines known to have it loaded
- * @param acceptedPerSecond recent rate of calls that this front end accepted
- * @param refusedPerSecond recent rate of calls, out of those accepted, that it refused
+ * @param callsPerSecond recent rate of calls that arrived at this front end
+ * @param refusedPerSecond recent rate of those that it refused
  */
 public record FrontEndReport(
     Ledger.Member member,
@@ -23,7 +23,7 @@
     Set<String> resumed,
     @SerializedName("underWay") Map<String, Integer> inFlight,
     Map<String, Set<String>> copies,
-    @SerializedName("taken") double acceptedPerSecond,
+    @SerializedName("taken") double callsPerSecond,
     @SerializedName("refused") double refusedPerSecond) {
   /**
    * A ban that this front end applies.
--- a/src/main/java/umberrun/works/Ledger.java
+++ b/src/main/java/umberrun/works/Ledger.java
@@ -74,7 +74,7 @@
    * A plan as operators ordered it.
    *
    * @param requestedBy the operator
-   * @param purpose why the machines go out, for people to read
+   * @param purpose why the machines go out, as free text
    * @param maxMissing most machines that may be missing at a time, over all plans
    * @param singleHall whether machines of only one hall may be missing at a time
    * @param minReady ready machines that must remain in total
@@ -167,7 +167,7 @@
    *
    * @param step number of the change
    * @param actor the operator, or {@code holder}
-   * @param action what was changed, for people to read
+   * @param action what was changed, as free text
    * @param fence fencing token of the holder, 0 for operators
    */
   public record Entry(
@@ -188,7 +188,7 @@
   /** The ledger of a register that was never written. */
   public static final Ledger EMPTY = new Ledger(0, 0, List.of(), List.of(), List.of(), List.of());
 
-  // Together these limits keep the text within what a register holds.
+  // These limits keep the text in the register small.
   private static final int MAX_TRAIL_ENTRIES = 120;
   private static final int MAX_ACTIVE_PLANS = 16;
   private static final int MAX_FINISHED_PLANS = 4;
--- a/src/main/java/umberrun/works/PlanExecutor.java
+++ b/src/main/java/umberrun/works/PlanExecutor.java
@@ -332,27 +332,26 @@
   /** Why plans must be held now, or null; also updates the mean of the traffic. */
   private String disturbance(
       long now, Ledger ledger, MachineView view, List<FrontEndReport> reports) {
-    double accepted = reports.stream().mapToDouble(FrontEndReport::acceptedPerSecond).sum();
+    double calls = reports.stream().mapToDouble(FrontEndReport::callsPerSecond).sum();
     double refused = reports.stream().mapToDouble(FrontEndReport::refusedPerSecond).sum();
     double previousMean = meanCallsPerSecond;
     if (meanCallsPerSecond < 0) {
-      meanCallsPerSecond = accepted;
+      meanCallsPerSecond = calls;
     } else {
       double elapsed = Math.min(now - meanUpdatedAt, MEAN_SPAN_MICROS);
       meanSpanMicros = Math.min(MEAN_SPAN_MICROS, meanSpanMicros + elapsed);
       meanCallsPerSecond +=
-          (accepted - meanCallsPerSecond)
+          (calls - meanCallsPerSecond)
               * Math.min(1, elapsed / Math.max(WARM_UP_MICROS, meanSpanMicros));
     }
     meanUpdatedAt = now;
     if (previousMean > MIN_CALLS_PER_SECOND
         && meanSpanMicros >= WARM_UP_MICROS
-        && accepted > settings.trafficJumpFactor * previousMean) {
-      return String.format(
-          "traffic jumped from %.0f to %.0f calls a second", previousMean, accepted);
+        && calls > settings.trafficJumpFactor * previousMean) {
+      return String.format("traffic jumped from %.0f to %.0f calls a second", previousMean, calls);
     }
-    if (accepted > MIN_CALLS_PER_SECOND && refused > settings.maxRefusedShare * accepted) {
-      return String.format("%.0f of %.0f calls a second are refused", refused, accepted);
+    if (calls > MIN_CALLS_PER_SECOND && refused > settings.maxRefusedShare * calls) {
+      return String.format("%.0f of %.0f calls a second are refused", refused, calls);
     }
     // By hall: the number of machines that should serve, and how many of them are failing.
     Map<String, int[]> halls = new HashMap<>();
@@ -384,7 +383,7 @@
           reports.stream()
               .filter(r -> r.copies().containsKey(function))
               .max(
-                  Comparator.comparingDouble(FrontEndReport::acceptedPerSecond)
+                  Comparator.comparingDouble(FrontEndReport::callsPerSecond)
                       .thenComparing(r -> r.member().name()))
               .ifPresent(
                   report -> {
--- a/src/main/java/umberrun/works/PlanParticipant.java
+++ b/src/main/java/umberrun/works/PlanParticipant.java
@@ -99,15 +99,15 @@
    * @param inFlightAt calls in flight at a machine
    * @param inFlight the same for all machines
    * @param copies functions in use, each with the machines known to have it loaded
-   * @param acceptedPerSecond recent rate of accepted calls
-   * @param refusedPerSecond recent rate of refused calls
+   * @param callsPerSecond recent rate of calls that arrived
+   * @param refusedPerSecond recent rate of those that were refused
    */
   public FrontEndReport report(
       Map<String, Long> applied,
       ToIntFunction<String> inFlightAt,
       Map<String, Integer> inFlight,
       Map<String, Set<String>> copies,
-      double acceptedPerSecond,
+      double callsPerSecond,
       double refusedPerSecond) {
     Map<String, FrontEndReport.BanProgress> bans = new LinkedHashMap<>();
     if (!accompanied && ledger.isMember(self)) {
@@ -123,7 +123,7 @@
         new HashSet<>(resumed.keySet()),
         inFlight,
         copies,
-        acceptedPerSecond,
+        callsPerSecond,
         refusedPerSecond);
   }
 }
--- a/src/main/java/umberrun/works/Stage.java
+++ b/src/main/java/umberrun/works/Stage.java
@@ -12,7 +12,7 @@
   WAITING,
   /** The last loaded copies of its functions are being loaded on other machines. */
   MOVING,
-  /** Front ends are told to stop sending to it. */
+  /** Front ends have to stop sending to it. */
   GOING,
   /** Each front end has stopped sending; calls in flight may still run. */
   QUIET,
--- a/src/main/java/umberrun/works/net/WorksManager.java
+++ b/src/main/java/umberrun/works/net/WorksManager.java
@@ -99,6 +99,8 @@
   private final EventLog eventLog = new EventLog("works");
   private final Member self;
   private final PlanParticipant participant;
+
+  /** The latest report of each front end, by its name. */
   private final Map<String, FrontEndReport> reports = new TreeMap<>();
 
   /** The bans that already bind here, by machine, with the step that began each. */
@@ -119,18 +121,22 @@
   private long lastReadAt;
   private long lastReportAt;
   private long rateMeasuredAt;
-  private long acceptedBefore;
+  private long callsBefore;
   private long refusedBefore;
-  private double acceptedPerSecond;
+  private double callsPerSecond;
   private double refusedPerSecond;
+
+  /** Null unless this front end holds the duty. */
   private PlanExecutor executor;
+
+  /** The fence under which this front end may act, or -1; asked right before each act. */
   private LongSupplier activeFence;
 
   /**
    * @param hallNames names of the halls, by zone number
    * @param kindNames names of the hardware kinds, by number
    * @param folder directory that the processes of this front end share, or null
-   * @param log receives lines for people
+   * @param log receives human-readable log lines
    */
   public WorksManager(
       Vertx vertx,
@@ -195,7 +201,7 @@
     folderRead.onComplete(
         v -> {
           if (accompanied) {
-            // The older process keeps the fleet's listener, and applies no new bans meanwhile.
+            // The older process keeps the fleet's listener, and reports no new bans meanwhile.
             vertx.setTimer(2 * TICK_MILLIS, t -> readFolder().onComplete(x -> bound.tryComplete()));
           }
           join(bound);
@@ -216,7 +222,7 @@
       joining = true;
       change(
           l -> l.join(self, true),
-          (ok, l) -> {
+          (refusal, l) -> {
             joining = false;
             if (l != null && l.isMember(self)) {
               joined = true;
@@ -232,10 +238,10 @@
    * answers.
    */
   private void requestLedgers() {
-    for (Peer p : fleet.peers()) {
-      if (p.claim().isLiving() && askedForLedger.add(p.claim().name())) {
+    for (Peer peer : fleet.peers()) {
+      if (peer.claim().isLiving() && askedForLedger.add(peer.claim().name())) {
         send(
-            p.claim().name(),
+            peer.claim().name(),
             new WorksMessage(
                 WorksMessage.Kind.LEDGER_REQUEST, participant.version(), null, null, null, null));
       }
@@ -261,7 +267,7 @@
       return Future.succeededFuture();
     }
     Promise<Void> left = Promise.promise();
-    change(l -> l.leave(self), (ok, l) -> left.tryComplete());
+    change(l -> l.leave(self), (refusal, l) -> left.tryComplete());
     stopped = true;
     vertx.setTimer(LEAVE_TIMEOUT_MILLIS, t -> left.tryComplete());
     return left.future();
@@ -304,12 +310,12 @@
     }
     long now = clock.now();
     if (now - rateMeasuredAt >= RATE_SPAN_MICROS) {
-      long acceptedNow = counters.get(Count.CALLS_TAKEN);
+      long callsNow = counters.get(Count.CALLS_TAKEN);
       long refusedNow = counters.get(Count.CALLS_REFUSED);
       double seconds = (now - rateMeasuredAt) / 1e6;
-      acceptedPerSecond = (acceptedNow - acceptedBefore) / seconds;
+      callsPerSecond = (callsNow - callsBefore) / seconds;
       refusedPerSecond = (refusedNow - refusedBefore) / seconds;
-      acceptedBefore = acceptedNow;
+      callsBefore = callsNow;
       refusedBefore = refusedNow;
       rateMeasuredAt = now;
     }
@@ -355,7 +361,7 @@
       apply();
       if (joined && !stopped && participant.isRemoved()) {
         log.accept("works: removed from the roll although it runs; joining again");
-        change(x -> x.join(self, !accompanied), (ok, x) -> {});
+        change(x -> x.join(self, !accompanied), (refusal, x) -> {});
       }
     }
   }
@@ -365,35 +371,39 @@
    * which of them knew of a change.
    */
   private void logChanges(Ledger before, Ledger now) {
-    for (Machine m : now.machines()) {
-      Machine was =
+    for (Machine machine : now.machines()) {
+      Machine previous =
           before.machines().stream()
-              .filter(o -> o.name().equals(m.name()) && o.plan().equals(m.plan()))
+              .filter(
+                  other ->
+                      other.name().equals(machine.name()) && other.plan().equals(machine.plan()))
               .findFirst()
               .orElse(null);
-      if (was == null || was.stage() != m.stage() || m.overdue() && !was.overdue()) {
-        Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("machine", m.name());
-        figures.put("plan", m.plan());
-        figures.put("stage", m.stage().name().toLowerCase(Locale.ROOT));
-        figures.put("overdue", m.overdue());
-        figures.put("note", m.note());
-        figures.put("steps", now.steps());
-        eventLog.log("machine", figures);
+      if (previous == null
+          || previous.stage() != machine.stage()
+          || machine.overdue() && !previous.overdue()) {
+        Map<String, Object> fields = new LinkedHashMap<>();
+        fields.put("machine", machine.name());
+        fields.put("plan", machine.plan());
+        fields.put("stage", machine.stage().name().toLowerCase(Locale.ROOT));
+        fields.put("overdue", machine.overdue());
+        fields.put("note", machine.note());
+        fields.put("steps", now.steps());
+        eventLog.log("machine", fields);
       }
     }
-    for (Plan p : now.plans()) {
-      Plan was = before.plan(p.id()).orElse(null);
-      if (was == null || was.state() != p.state()) {
+    for (Plan plan : now.plans()) {
+      Plan previous = before.plan(plan.id()).orElse(null);
+      if (previous == null || previous.state() != plan.state()) {
         eventLog.log(
             "plan",
             Map.of(
                 "plan",
-                p.id(),
+                plan.id(),
                 "state",
-                p.state().name().toLowerCase(Locale.ROOT),
+                plan.state().name().toLowerCase(Locale.ROOT),
                 "reason",
-                p.reason()));
+                plan.reason()));
       }
     }
   }
@@ -470,7 +480,7 @@
             name -> inFlight.getOrDefault(name, 0),
             inFlight,
             needsCopies ? dispatcher.copiesByFunction(MAX_REPORTED_FUNCTIONS) : Map.of(),
-            acceptedPerSecond,
+            callsPerSecond,
             refusedPerSecond);
     counters.add(Count.WORKS_REPORTS);
     if (executor != null) {
@@ -517,12 +527,12 @@
 
   /** Requests copies and makes the next step of the plans, if this front end may act. */
   private void drive() {
+    // Without a worker list all machines would count as gone.
     if (executor == null
         || stepPending
         || activeFence.getAsLong() < 0
         || participant.version() < 0
         || !dispatcher.isKeepingUp()
-        // Without a worker list all machines would count as gone.
         || dispatcher.workerViews().isEmpty()) {
       return;
     }
@@ -548,7 +558,7 @@
       counters.add(Count.LEASE_ACTS);
       change(
           step.step(),
-          (ok, ledgerAfter) -> {
+          (refusal, ledgerAfter) -> {
             stepPending = false;
             drive();
           });
@@ -566,9 +576,9 @@
 
   /** The machines of the worker list, and those of plans that the list no longer names. */
   private MachineView observedMachines() {
-    Map<String, MachineView.ObservedMachine> seen = new TreeMap<>();
+    Map<String, MachineView.ObservedMachine> observed = new TreeMap<>();
     for (DispatchLoop.WorkerView m : dispatcher.workerViews()) {
-      seen.put(
+      observed.put(
           m.name(),
           new MachineView.ObservedMachine(
               nameAt(hallNames, m.zone()),
@@ -580,11 +590,11 @@
               m.failing()));
     }
     for (Machine m : participant.ledger().machines()) {
-      seen.computeIfAbsent(
+      observed.computeIfAbsent(
           m.name(),
           n -> new MachineView.ObservedMachine(m.hall(), "", false, true, 0, false, false));
     }
-    return new MachineView(seen);
+    return new MachineView(observed);
   }
 
   /** The name at an index, or the index as text if it has no name. */
@@ -597,38 +607,38 @@
     String[] refusal = new String[1];
     registerWriter.change(
         REGISTER,
-        v -> {
+        value -> {
           refusal[0] = null;
           try {
-            Ledger before = Ledger.parse(v.text());
+            Ledger before = Ledger.parse(value.text());
             Ledger after = step.apply(before);
-            RegisterValue next = v.withText(after.text());
+            RegisterValue next = value.withText(after.text());
             if (!next.isShort()) {
               throw new Refused("the register is full");
             }
-            return after.steps() == before.steps() ? v : next;
+            return after.steps() == before.steps() ? value : next;
           } catch (Refused | IllegalArgumentException e) {
             refusal[0] = e.getMessage();
-            return v;
+            return value;
           }
         },
         clock.now() + REGISTER_TIMEOUT_MICROS,
-        v -> {
+        value -> {
           long knownVersion = participant.version();
-          update(v);
+          update(value);
           counters.add(refusal[0] == null ? Count.WORKS_STEPS : Count.WORKS_REFUSED);
-          if (v != null && v.version() > knownVersion) {
+          if (value != null && value.version() > knownVersion) {
             sendToAll(
                 new WorksMessage(
-                    WorksMessage.Kind.LEDGER, v.version(), v.text(), null, null, null));
+                    WorksMessage.Kind.LEDGER, value.version(), value.text(), null, null, null));
           }
           handler.completed(
-              v == null
+              value == null
                   ? "no majority of "
                       + registers.voters().keys()
                       + " answers; it may have been done"
                   : refusal[0],
-              v == null ? null : participant.ledger());
+              value == null ? null : participant.ledger());
         });
   }
 
@@ -645,9 +655,9 @@
 
   private void sendToAll(WorksMessage message) {
     byte[] bytes = WorksCodec.write(message);
-    for (Peer p : fleet.peers()) {
-      if (p.claim().isLiving()) {
-        fleet.sendToMember(TOPIC, p.claim().name(), bytes);
+    for (Peer peer : fleet.peers()) {
+      if (peer.claim().isLiving()) {
+        fleet.sendToMember(TOPIC, peer.claim().name(), bytes);
       }
     }
   }
--- a/src/main/java/umberrun/works/sim/WorksSimulation.java
+++ b/src/main/java/umberrun/works/sim/WorksSimulation.java
@@ -656,9 +656,8 @@
     FrontEnd frontEnd = frontEnds.get(front);
     if (frontEnd.serves && frontEnd.participant.resumeManually(name)) {
       frontEnd.applied = frontEnd.participant.banned();
-      // From now on this front end may send to the machine even if the plan has it free for work:
-      // the
-      // operator who resumed it has asked those who work on it, and the plan learns of it.
+      // From now on this front end may send to the machine even if the plan has it free for work.
+      // The operator who resumed it has asked those who work on it, and the plan learns of it.
       manuallyResumed.add(name);
     }
   }
--- a/src/test/java/umberrun/WorksProcessesIT.java
+++ b/src/test/java/umberrun/WorksProcessesIT.java
@@ -26,31 +26,33 @@
 import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
- * Five processes and twelve stand-in workers: machines are taken out by plans while processes are
- * killed, stopped, cut off and replaced.
+ * Runs plans that take machines out with five front-end processes and twelve simulated workers,
+ * while processes are killed, paused, cut off and replaced. Throughout, no call may reach a machine
+ * that is free for work. The tests share the processes and run in the order of their names.
  */
 @FixMethodOrder(MethodSorters.NAME_ASCENDING)
 public class WorksProcessesIT {
-  private static final int SIZE = 5;
+  private static final int FRONT_ENDS = 5;
   private static final int WORKERS = 12;
-  private static final int[] ALL = {0, 1, 2, 3, 4};
-  private static final long BOUND_SECONDS = 20;
-  private static final long PLAN_SECONDS = 90;
+  private static final int[] ALL_FRONT_ENDS = {0, 1, 2, 3, 4};
+  private static final long STEP_TIMEOUT_SECONDS = 20;
+  private static final long PLAN_TIMEOUT_SECONDS = 90;
 
-  /** So that a jump can be a jump; some 80 calls a second in all. */
-  private static final int USUAL_PAUSE_MILLIS = 60;
+  /** Pause of a client between calls; some 80 calls a second in total, so that traffic can jump. */
+  private static final int NORMAL_PAUSE_MILLIS = 60;
 
-  private static final List<String> LATE = Collections.synchronizedList(new ArrayList<>());
+  private static final List<String> FORBIDDEN_CALLS =
+      Collections.synchronizedList(new ArrayList<>());
   private static Processes fleet;
-  private static volatile boolean over;
-  private static Thread people;
-  private static int worked;
+  private static volatile boolean operatorsStopped;
+  private static Thread operators;
+  private static int completedWork;
 
   @BeforeClass
   public static void start() throws Exception {
     fleet =
         new Processes(
-            SIZE,
+            FRONT_ENDS,
             WORKERS,
             i ->
                 new TreeMap<>(
@@ -89,94 +91,98 @@
                                     "refusals",
                                     1)))),
             1_000);
-    fleet.pauseMillis = USUAL_PAUSE_MILLIS;
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.pauseMillis = NORMAL_PAUSE_MILLIS;
+    fleet.awaitView(STEP_TIMEOUT_SECONDS, ALL_FRONT_ENDS);
     FleetClient.ask("127.0.0.1", fleet.nodes.get(3).fleet, Frame.Kind.CALL, "leases found");
     Processes.await(
-        "not all on the roll",
-        BOUND_SECONDS,
-        () -> ledger(4).getAsJsonArray("roll").size() == SIZE);
-    back();
+        "not all are members",
+        STEP_TIMEOUT_SECONDS,
+        () -> ledger(4).getAsJsonArray("roll").size() == FRONT_ENDS);
+    startOperators();
   }
 
   @AfterClass
   public static void end() throws Exception {
-    home();
+    stopOperators();
     fleet.close();
     Processes.deleteStateDirs();
-    assertEquals("work that came to machines that were free", List.of(), List.copyOf(LATE));
-    assertEquals("calls without their one answer", List.of(), List.copyOf(fleet.faults));
-    assertTrue("hardly any calls: " + fleet.served, fleet.served.get() > 500);
-    assertTrue("hardly any machine was worked on: " + worked, worked >= WORKERS);
+    assertEquals(
+        "calls that reached machines that were free", List.of(), List.copyOf(FORBIDDEN_CALLS));
+    assertEquals("calls without exactly one answer", List.of(), List.copyOf(fleet.faults));
+    assertTrue("too few calls: " + fleet.served, fleet.served.get() > 500);
+    assertTrue("too few machines were worked on: " + completedWork, completedWork >= WORKERS);
   }
 
   @Before
-  public void whole() throws Exception {
+  public void healNetwork() throws Exception {
     fleet.eachWay(Relay::heal);
     for (Processes.Node n : fleet.nodes) {
       n.disturbed = false;
     }
-    fleet.awaitView(BOUND_SECONDS, ALL);
+    fleet.awaitView(STEP_TIMEOUT_SECONDS, ALL_FRONT_ENDS);
   }
 
   private static Processes.Node node(int i) {
     return fleet.nodes.get(i);
   }
 
-  private static JsonObject order(int at, String verb, String id, Object... further)
+  /** Sends an order to a front end; {@code fields} are alternating names and values. */
+  private static JsonObject order(int frontEnd, String verb, String id, Object... fields)
       throws IOException {
-    JsonObject o = new JsonObject();
-    o.addProperty("do", verb);
-    o.addProperty("id", id);
-    o.addProperty("by", "test");
-    for (int i = 0; i < further.length; i += 2) {
-      o.add((String) further[i], new com.google.gson.Gson().toJsonTree(further[i + 1]));
+    JsonObject order = new JsonObject();
+    order.addProperty("do", verb);
+    order.addProperty("id", id);
+    order.addProperty("by", "test");
+    for (int i = 0; i < fields.length; i += 2) {
+      order.add((String) fields[i], new com.google.gson.Gson().toJsonTree(fields[i + 1]));
     }
     return JsonParser.parseString(
             FleetClient.ask(
                 "127.0.0.1",
-                node(at).fleet,
+                node(frontEnd).fleet,
                 Frame.Kind.CALL,
                 "works "
                     + Base64.getUrlEncoder()
-                        .encodeToString(o.toString().getBytes(StandardCharsets.UTF_8))))
+                        .encodeToString(order.toString().getBytes(StandardCharsets.UTF_8))))
         .getAsJsonObject();
   }
 
-  private static JsonObject ledger(int at) throws IOException {
-    return order(at, "show", "").getAsJsonObject("ledger");
+  /** The ledger as a front end knows it. */
+  private static JsonObject ledger(int frontEnd) throws IOException {
+    return order(frontEnd, "show", "").getAsJsonObject("ledger");
   }
 
-  /** Tells the same at the one that knows most, whatever others know. */
-  private static JsonObject newest() {
+  /** The answer to "show" with the highest ledger version, or an empty object if none answers. */
+  private static JsonObject newestAnswer() {
     JsonObject newest = null;
-    for (int i : ALL) {
+    for (int i : ALL_FRONT_ENDS) {
       try {
-        JsonObject o = order(i, "show", "");
+        JsonObject answer = order(i, "show", "");
         newest =
-            newest == null || o.get("version").getAsLong() > newest.get("version").getAsLong()
-                ? o
+            newest == null || answer.get("version").getAsLong() > newest.get("version").getAsLong()
+                ? answer
                 : newest;
       } catch (IOException | IllegalStateException e) {
-        continue; // it is down, or begins
+        // The process is down or just starting.
+        continue;
       }
     }
     return newest == null ? new JsonObject() : newest;
   }
 
   /**
-   * The people: whoever is free is worked on for a moment, in which nothing may come; then they say
-   * that it is done.
+   * Simulates the operators: each free machine is worked on for a moment, in which no call may
+   * reach it, and is then reported as done.
    */
-  private static void work() {
+  private static void runOperators() {
     try {
-      while (!over) {
-        JsonObject told = newest();
-        if (told.has("ledger")) {
-          for (JsonElement e : told.getAsJsonObject("ledger").getAsJsonArray("machines")) {
+      while (!operatorsStopped) {
+        JsonObject answer = newestAnswer();
+        if (answer.has("ledger")) {
+          for (JsonElement e : answer.getAsJsonObject("ledger").getAsJsonArray("machines")) {
             JsonObject m = e.getAsJsonObject();
             if (m.get("stage").getAsString().equals("FREE")) {
-              work(m.get("name").getAsString());
+              completeWork(m.get("name").getAsString());
             }
           }
         }
@@ -187,31 +193,34 @@
     }
   }
 
-  private static void work(String name) throws InterruptedException {
-    Scenario.Worker w = fleet.workers.get(Integer.parseInt(name.substring(1)));
-    int before = w.work.get();
+  /** Works on a free machine, counts the calls that reach it, and reports the work as done. */
+  private static void completeWork(String name) throws InterruptedException {
+    Scenario.Worker worker = fleet.workers.get(Integer.parseInt(name.substring(1)));
+    int callsBefore = worker.work.get();
     Thread.sleep(300);
-    int came = w.work.get() - before;
-    if (came > 0) {
-      LATE.add(came + " at " + name);
+    int calls = worker.work.get() - callsBefore;
+    if (calls > 0) {
+      FORBIDDEN_CALLS.add(calls + " at " + name);
     }
-    for (int i : ALL) {
+    for (int i : ALL_FRONT_ENDS) {
       try {
-        JsonObject o = order(i, "done", name);
-        if (!o.has("fault") || o.get("fault").getAsString().contains("is back")) {
-          worked++;
+        JsonObject answer = order(i, "done", name);
+        if (!answer.has("fault") || answer.get("fault").getAsString().contains("is back")) {
+          completedWork++;
           return;
         }
       } catch (IOException | IllegalStateException e) {
-        continue; // another one takes the word
+        // Another front end takes the order.
+        continue;
       }
     }
   }
 
+  /** The state of a plan, or empty if it is not known. */
   private static String state(String plan) {
-    JsonObject told = newest();
-    if (told.has("ledger")) {
-      for (JsonElement e : told.getAsJsonObject("ledger").getAsJsonArray("plans")) {
+    JsonObject answer = newestAnswer();
+    if (answer.has("ledger")) {
+      for (JsonElement e : answer.getAsJsonObject("ledger").getAsJsonArray("plans")) {
         if (e.getAsJsonObject().get("id").getAsString().equals(plan)) {
           return e.getAsJsonObject().get("state").getAsString();
         }
@@ -220,10 +229,11 @@
     return "";
   }
 
+  /** The stage of a machine in a plan, or empty if it is not known. */
   private static String stage(String machine, String plan) {
-    JsonObject told = newest();
-    if (told.has("ledger")) {
-      for (JsonElement e : told.getAsJsonObject("ledger").getAsJsonArray("machines")) {
+    JsonObject answer = newestAnswer();
+    if (answer.has("ledger")) {
+      for (JsonElement e : answer.getAsJsonObject("ledger").getAsJsonArray("machines")) {
         JsonObject m = e.getAsJsonObject();
         if (m.get("name").getAsString().equals(machine)
             && m.get("plan").getAsString().equals(plan)) {
@@ -234,13 +244,14 @@
     return "";
   }
 
-  private static int driver() throws Exception {
+  /** Waits for a front end that drives the plans, and returns its number. */
+  private static int awaitHolder() throws Exception {
     int[] found = {-1};
     Processes.await(
-        "nobody drives",
-        BOUND_SECONDS,
+        "no front end drives",
+        STEP_TIMEOUT_SECONDS,
         () -> {
-          for (int i : ALL) {
+          for (int i : ALL_FRONT_ENDS) {
             try {
               if (order(i, "show", "").get("drives").getAsBoolean()) {
                 found[0] = i;
@@ -254,22 +265,24 @@
     return found[0];
   }
 
-  private static void ended(String plan) throws Exception {
+  private static void awaitEnd(String plan) throws Exception {
     try {
       Processes.await(
-          "plan " + plan + " does not end", PLAN_SECONDS, () -> state(plan).equals("ENDED"));
+          "plan " + plan + " does not end",
+          PLAN_TIMEOUT_SECONDS,
+          () -> state(plan).equals("ENDED"));
     } catch (AssertionError e) {
-      throw new AssertionError(e.getMessage() + ": " + newest(), e);
+      throw new AssertionError(e.getMessage() + ": " + newestAnswer(), e);
     }
   }
 
   /**
-   * All twelve, one after the other, while the holder is killed, a member stopped, another cut off
-   * and one replaced.
+   * A plan takes out all twelve machines while the holder is killed, a front end is paused, another
+   * one is cut off and one is replaced by a new process.
    */
   @Test
   public void aRollingPlanThroughFaults() throws Exception {
-    long began = System.nanoTime();
+    long startedAt = System.nanoTime();
     assertFalse(
         order(
                 2,
@@ -286,17 +299,21 @@
                 "floor",
                 8)
             .has("fault"));
-    int holder = driver();
-    Processes.await("nobody goes", BOUND_SECONDS, () -> newest().toString().contains("\"FREE\""));
+    int holder = awaitHolder();
+    Processes.await(
+        "no machine becomes free",
+        STEP_TIMEOUT_SECONDS,
+        () -> newestAnswer().toString().contains("\"FREE\""));
     node(holder).kill();
     node(holder).start();
     Processes.awaitReady(node(holder).door);
-    int stopped = (holder + 1) % SIZE;
+    int stopped = (holder + 1) % FRONT_ENDS;
     node(stopped).signal("STOP");
-    Thread.sleep(1_500); // as long as a lease: who it was held by must have given way
+    // As long as a lease: if the paused one held it, another front end must have taken over.
+    Thread.sleep(1_500);
     node(stopped).signal("CONT");
-    int cut = (holder + 2) % SIZE;
-    for (int i : ALL) {
+    int cut = (holder + 2) % FRONT_ENDS;
+    for (int i : ALL_FRONT_ENDS) {
       if (i != cut) {
         fleet.cut(cut, i, true);
         fleet.cut(i, cut, true);
@@ -304,11 +321,11 @@
     }
     Thread.sleep(1_500);
     fleet.eachWay(Relay::heal);
-    node((holder + 3) % SIZE).upgrade();
-    ended("roll");
+    node((holder + 3) % FRONT_ENDS).upgrade();
+    awaitEnd("roll");
     System.out.println(
         "works: twelve machines through four faults in "
-            + (System.nanoTime() - began) / 1_000_000
+            + (System.nanoTime() - startedAt) / 1_000_000
             + " ms");
     for (int i = 0; i < WORKERS; i++) {
       assertEquals("DONE", stage("w" + i, "roll"));
@@ -316,53 +333,58 @@
   }
 
   /**
-   * One that is stopped may still be sending: the machine waits for it, says so, and goes on when
-   * it is back; or it is forced.
+   * A paused front end may still have calls in flight. The machine waits for it and the answers
+   * name it; it goes on when the front end continues, or when an operator forces it.
    */
   @Test
-  public void silenceIsNoYes() throws Exception {
-    int holder = driver();
-    int silent = (holder + 1) % SIZE;
+  public void missingAnswersAreNoConfirmation() throws Exception {
+    int holder = awaitHolder();
+    int silent = (holder + 1) % FRONT_ENDS;
     node(silent).signal("STOP");
     assertFalse(
         order(holder, "plan", "wait", "why", "a fan", "machines", List.of("w1")).has("fault"));
     Processes.await(
-        "it waits for nobody",
-        BOUND_SECONDS,
+        "the machine does not wait for the paused front end",
+        STEP_TIMEOUT_SECONDS,
         () -> {
-          JsonObject told = order(driver(), "show", "");
-          return told.has("waits_for")
-              && told.getAsJsonObject("waits_for").has("w1")
-              && told.getAsJsonObject("waits_for")
+          JsonObject answer = order(awaitHolder(), "show", "");
+          return answer.has("waits_for")
+              && answer.getAsJsonObject("waits_for").has("w1")
+              && answer
+                  .getAsJsonObject("waits_for")
                   .get("w1")
                   .toString()
                   .equals("[\"n" + silent + "\"]");
         });
     assertEquals("GOING", stage("w1", "wait"));
     node(silent).signal("CONT");
-    ended("wait");
+    awaitEnd("wait");
     node(silent).signal("STOP");
     assertFalse(
-        order(driver(), "plan", "force", "why", "a fan", "machines", List.of("w2")).has("fault"));
-    Processes.await("it does not go", BOUND_SECONDS, () -> stage("w2", "force").equals("GOING"));
-    assertFalse(order(driver(), "force", "w2", "member", "n" + silent).has("fault"));
+        order(awaitHolder(), "plan", "force", "why", "a fan", "machines", List.of("w2"))
+            .has("fault"));
+    Processes.await(
+        "the machine does not go out",
+        STEP_TIMEOUT_SECONDS,
+        () -> stage("w2", "force").equals("GOING"));
+    assertFalse(order(awaitHolder(), "force", "w2", "member", "n" + silent).has("fault"));
     Processes.await(
-        "force does nothing",
-        BOUND_SECONDS,
+        "the forced machine does not go on",
+        STEP_TIMEOUT_SECONDS,
         () -> List.of("FREE", "BACK", "DONE").contains(stage("w2", "force")));
     assertTrue(
-        ledger(driver()).getAsJsonArray("trail").toString().contains("forced for n" + silent));
+        ledger(awaitHolder()).getAsJsonArray("trail").toString().contains("forced for n" + silent));
     node(silent).signal("CONT");
-    ended("force");
+    awaitEnd("force");
   }
 
   /**
-   * All processes killed with a machine out and started again: each is bound before it serves, and
-   * the plan goes on.
+   * All processes are killed and restarted while machines are out: each applies the bans before it
+   * serves, and the plan goes on.
    */
   @Test
-  public void whatIsOutStaysOutThroughARestartOfAll() throws Exception {
-    home();
+  public void restartOfAllProcessesKeepsTheBans() throws Exception {
+    stopOperators();
     assertFalse(
         order(
                 0,
@@ -378,8 +400,8 @@
                 true)
             .has("fault"));
     Processes.await(
-        "not free",
-        BOUND_SECONDS,
+        "no machine is free",
+        STEP_TIMEOUT_SECONDS,
         () -> stage("w4", "all").equals("FREE") && stage("w5", "all").equals("FREE"));
     for (Processes.Node n : fleet.nodes) {
       n.kill();
@@ -392,41 +414,44 @@
       Processes.awaitReady(n.door);
     }
     int served = fleet.served.get();
-    Processes.await("calls do not go on", BOUND_SECONDS, () -> fleet.served.get() > served + 100);
+    Processes.await(
+        "calls do not go on", STEP_TIMEOUT_SECONDS, () -> fleet.served.get() > served + 100);
     assertEquals(
-        "work came to machines that are free",
+        "calls reached machines that are free",
         before,
         fleet.workers.get(4).work.get() + fleet.workers.get(5).work.get());
-    back();
-    ended("all");
+    startOperators();
+    awaitEnd("all");
   }
 
-  /** The people go home: whatever is free stays so. */
-  private static void home() throws Exception {
-    over = true;
-    people.join();
+  /** Stops the simulated operators: free machines stay free. */
+  private static void stopOperators() throws Exception {
+    operatorsStopped = true;
+    operators.join();
   }
 
-  private static void back() {
-    over = false;
-    people = new Thread(WorksProcessesIT::work, "people");
-    people.setDaemon(true);
-    people.start();
+  /** Starts the simulated operators. */
+  private static void startOperators() {
+    operatorsStopped = false;
+    operators = new Thread(WorksProcessesIT::runOperators, "operators");
+    operators.setDaemon(true);
+    operators.start();
   }
 
   /**
-   * The next one does not go, though the one before is done: a plan that runs would have it moving
-   * within a beat of the holder.
+   * Checks for a while that a machine waits although the one before it is done: a running plan
+   * would move it within one tick of the holder.
    */
-  private static void stays(String machine, String plan) throws Exception {
+  private static void assertWaits(String machine, String plan) throws Exception {
     for (int i = 0; i < 20; i++) {
       assertEquals("WAITING", stage(machine, plan));
       Thread.sleep(50);
     }
   }
 
+  /** Why a plan is held, or empty. */
   private static String reason(String plan) {
-    for (JsonElement e : newest().getAsJsonObject("ledger").getAsJsonArray("plans")) {
+    for (JsonElement e : newestAnswer().getAsJsonObject("ledger").getAsJsonArray("plans")) {
       if (e.getAsJsonObject().get("id").getAsString().equals(plan)) {
         return e.getAsJsonObject().get("reason").getAsString();
       }
@@ -435,78 +460,83 @@
   }
 
   /**
-   * A hall falls silent while a machine of another one is out: nobody goes after it until the hall
-   * is back; then by itself.
+   * A hall stops answering while a machine of another hall is out: no further machine goes out
+   * until the hall is back; then the plan goes on by itself.
    */
   @Test
   public void aLostHallHoldsThePlan() throws Exception {
-    home();
-    assertFalse(
-        order(3, "plan", "hall", "why", "y", "machines", List.of("w1", "w4"))
-            .has("fault")); // both of hall-b
+    stopOperators();
+    // Both machines stand in hall-b.
+    assertFalse(order(3, "plan", "hall", "why", "y", "machines", List.of("w1", "w4")).has("fault"));
     Processes.await(
-        "not free",
-        BOUND_SECONDS,
+        "no machine is free",
+        STEP_TIMEOUT_SECONDS,
         () -> stage("w1", "hall").equals("FREE") || stage("w4", "hall").equals("FREE"));
     String waits = stage("w1", "hall").equals("FREE") ? "w4" : "w1";
     for (int i = 0; i < WORKERS; i += 3) {
       fleet.workers.get(i).silent = true;
     }
-    Processes.await("the plan goes on", BOUND_SECONDS, () -> state("hall").equals("HELD"));
+    Processes.await(
+        "the plan is not held", STEP_TIMEOUT_SECONDS, () -> state("hall").equals("HELD"));
     assertTrue(reason("hall"), reason("hall").contains("hall-a is lost"));
-    back(); // the one that is out is through with its work, and comes back
+    // The work on the machine that is out gets done, and it comes back.
+    startOperators();
     Processes.await(
-        "it does not come back",
-        BOUND_SECONDS,
+        "the machine does not come back",
+        STEP_TIMEOUT_SECONDS,
         () -> stage(waits.equals("w4") ? "w1" : "w4", "hall").equals("DONE"));
-    stays(waits, "hall");
+    assertWaits(waits, "hall");
     for (int i = 0; i < WORKERS; i += 3) {
       fleet.workers.get(i).silent = false;
     }
-    ended("hall");
+    awaitEnd("hall");
   }
 
   /**
-   * Traffic grows to a multiple while a machine is out: nobody goes after it, out stays out, and
-   * the plan goes on once that has lasted.
+   * Traffic multiplies while a machine is out: no further machine goes out, the one that is out
+   * stays out, and the plan goes on once the traffic is steady.
    */
   @Test
   public void aJumpOfTrafficHoldsThePlan() throws Exception {
-    home();
+    stopOperators();
     assertFalse(
         order(4, "plan", "jump", "why", "y", "machines", List.of("w2", "w5"), "floor", WORKERS - 1)
             .has("fault"));
     Processes.await(
-        "not free",
-        BOUND_SECONDS,
+        "no machine is free",
+        STEP_TIMEOUT_SECONDS,
         () -> stage("w2", "jump").equals("FREE") || stage("w5", "jump").equals("FREE"));
-    Thread.sleep(7_000); // as long as the holder needs to know what is usual
+    // The holder needs 5 s to know the normal traffic.
+    Thread.sleep(7_000);
     fleet.pauseMillis = 4;
-    Processes.await("the plan goes on", BOUND_SECONDS, () -> state("jump").equals("HELD"));
+    Processes.await(
+        "the plan is not held", STEP_TIMEOUT_SECONDS, () -> state("jump").equals("HELD"));
     assertTrue(reason("jump"), reason("jump").contains("traffic jumped"));
     String waits = stage("w2", "jump").equals("FREE") ? "w5" : "w2";
-    back();
+    startOperators();
     Processes.await(
-        "it does not come back",
-        BOUND_SECONDS,
+        "the machine does not come back",
+        STEP_TIMEOUT_SECONDS,
         () -> stage(waits.equals("w5") ? "w2" : "w5", "jump").equals("DONE"));
-    stays(waits, "jump");
-    fleet.pauseMillis = USUAL_PAUSE_MILLIS;
-    ended("jump");
+    assertWaits(waits, "jump");
+    fleet.pauseMillis = NORMAL_PAUSE_MILLIS;
+    awaitEnd("jump");
   }
 
   /**
-   * A start that reaches no majority is bound by what its folder has, or without one by what the
-   * others tell, before it serves; once there is a majority it is on the roll.
+   * A process that starts without a majority applies, before it serves, the bans of the ledger in
+   * its folder, or without that file those that other front ends know. Once there is a majority it
+   * becomes a member.
    */
   @Test
-  public void aStartWithoutAMajorityIsBoundAllTheSame() throws Exception {
-    home();
+  public void aStartWithoutAMajorityAppliesTheBans() throws Exception {
+    stopOperators();
     assertFalse(order(3, "plan", "lone", "why", "y", "machines", List.of("w9")).has("fault"));
-    Processes.await("not free", BOUND_SECONDS, () -> stage("w9", "lone").equals("FREE"));
     Processes.await(
-        "n4 has not heard",
-        BOUND_SECONDS,
+        "no machine is free", STEP_TIMEOUT_SECONDS, () -> stage("w9", "lone").equals("FREE"));
+    Processes.await(
+        "n4 does not know of the ban",
+        STEP_TIMEOUT_SECONDS,
         () -> order(4, "show", "").getAsJsonObject("banned").has("w9"));
     node(0).kill();
     node(1).kill();
@@ -514,41 +544,45 @@
       node(4).kill();
       if (!folder) {
         try (var files = java.nio.file.Files.walk(node(4).folder)) {
-          java.nio.file.Path left =
+          java.nio.file.Path stored =
               files.filter(f -> f.endsWith("works.json")).findFirst().orElseThrow();
-          java.nio.file.Files.delete(left);
+          java.nio.file.Files.delete(stored);
         }
       }
-      int came = fleet.workers.get(9).work.get();
-      int said = node(4).said().length();
+      int callsBefore = fleet.workers.get(9).work.get();
+      int outputLength = node(4).said().length();
       node(4).start();
       Processes.awaitReady(node(4).door);
-      String began = node(4).said().substring(said);
+      String startOutput = node(4).said().substring(outputLength);
       assertTrue(
-          began, began.contains("not on the roll yet; bound by version") && began.contains("[w9]"));
+          startOutput,
+          startOutput.contains("not on the roll yet; bound by version")
+              && startOutput.contains("[w9]"));
       int served = fleet.served.get();
-      Processes.await("calls do not go on", BOUND_SECONDS, () -> fleet.served.get() > served + 200);
-      assertEquals("work came to a machine that is free", came, fleet.workers.get(9).work.get());
+      Processes.await(
+          "calls do not go on", STEP_TIMEOUT_SECONDS, () -> fleet.served.get() > served + 200);
+      assertEquals(
+          "calls reached a machine that is free", callsBefore, fleet.workers.get(9).work.get());
     }
     node(0).start();
     node(1).start();
     Processes.awaitReady(node(0).door);
     Processes.awaitReady(node(1).door);
     Processes.await(
-        "n4 is not on the roll",
-        BOUND_SECONDS,
+        "n4 is not a member",
+        STEP_TIMEOUT_SECONDS,
         () -> order(4, "show", "").get("on_roll").getAsBoolean());
-    back();
-    ended("lone");
+    startOperators();
+    awaitEnd("lone");
   }
 
   /**
-   * What can't be done is refused with one plain line, and changes nothing; two doors at once come
-   * to one plan.
+   * Orders that are not possible are refused with a single line and change nothing; of two plans
+   * for the same machine, ordered at two front ends, only one is accepted.
    */
   @Test
   public void badOrdersAreRefused() throws Exception {
-    long steps = ledger(driver()).get("steps").getAsLong();
+    long steps = ledger(awaitHolder()).get("steps").getAsLong();
     Map<String, JsonObject> bad = new TreeMap<>();
     bad.put("not on the list", order(1, "plan", "x", "why", "y", "machines", List.of("w99")));
     bad.put("names no machine", order(2, "plan", "x", "why", "y"));
@@ -560,13 +594,13 @@
     bad.put("is in no plan", order(4, "skip", "w3"));
     bad.put("there is no plan", order(0, "pause", "nowhere"));
     bad.forEach(
-        (why, told) ->
+        (why, answer) ->
             assertTrue(
-                why + ": " + told,
-                told.has("fault")
-                    && told.get("fault").getAsString().contains(why)
-                    && !told.get("fault").getAsString().contains("\n")));
-    assertEquals(steps, ledger(driver()).get("steps").getAsLong());
+                why + ": " + answer,
+                answer.has("fault")
+                    && answer.get("fault").getAsString().contains(why)
+                    && !answer.get("fault").getAsString().contains("\n")));
+    assertEquals(steps, ledger(awaitHolder()).get("steps").getAsLong());
     String dry = order(1, "plan", "x", "why", "y", "all", true, "dry_run", true).toString();
     assertTrue(dry, dry.contains("\"rounds\":12"));
     assertEquals(0, Commands.run("works", "show", node(1).address()));
@@ -574,19 +608,19 @@
     JsonObject one = order(0, "plan", "one", "why", "y", "machines", List.of("w6"));
     JsonObject two = order(1, "plan", "two", "why", "y", "machines", List.of("w6"));
     assertTrue(one + " and " + two, one.has("fault") != two.has("fault"));
-    ended(one.has("fault") ? "two" : "one");
+    awaitEnd(one.has("fault") ? "two" : "one");
   }
 
-  /** Resumed by hand at a door, a machine serves there, and the plan takes note and stops. */
+  /** A machine resumed manually at a front end serves there; the plan fails it and is held. */
   @Test
-  public void anOperatorsWordAtADoorWins() throws Exception {
-    home();
+  public void anOperatorsManualResumeOverridesThePlan() throws Exception {
+    stopOperators();
     assertFalse(
         order(0, "plan", "hand", "why", "y", "machines", List.of("w7", "w8"), "by_hand", true)
             .has("fault"));
     Processes.await(
-        "not free",
-        BOUND_SECONDS,
+        "no machine is free",
+        STEP_TIMEOUT_SECONDS,
         () -> stage("w7", "hand").equals("FREE") || stage("w8", "hand").equals("FREE"));
     String machine = stage("w7", "hand").equals("FREE") ? "w7" : "w8";
     try (java.net.Socket s = new java.net.Socket("127.0.0.1", node(3).door)) {
@@ -600,11 +634,11 @@
           new String(s.getInputStream().readNBytes(12), StandardCharsets.US_ASCII).endsWith("200"));
     }
     Processes.await(
-        "the plan does not take note",
-        BOUND_SECONDS,
+        "the plan does not fail the machine",
+        STEP_TIMEOUT_SECONDS,
         () -> stage(machine, "hand").equals("FAILED") && state("hand").equals("HELD"));
     assertFalse(order(1, "cancel", "hand").has("fault"));
-    back();
-    Processes.await("not cancelled", BOUND_SECONDS, () -> state("hand").equals("CANCELLED"));
+    startOperators();
+    Processes.await("not cancelled", STEP_TIMEOUT_SECONDS, () -> state("hand").equals("CANCELLED"));
   }
 }
--- a/src/test/java/umberrun/WorksService.java
+++ b/src/test/java/umberrun/WorksService.java
@@ -25,44 +25,45 @@
 import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
- * Figures for docs/works.md, outside the build: service while all machines are worked on by a plan,
- * by people who go from door to door in list order, and while nobody works on any. Five processes,
- * twelve emulated workers, clients of both fronts.
+ * Measures the service that clients get while all machines are taken out for work, started manually
+ * with {@code main} and a number of rounds. Compares a plan, operators who suspend machines at each
+ * front end in list order, and no work at all. Five processes, twelve emulated workers, clients of
+ * both protocols.
  */
 public final class WorksService {
-  private static final int FRONTS = 5;
+  private static final int FRONT_ENDS = 5;
   private static final int WORKERS = 12;
   private static final int AT_ONCE = 3;
-  private static final long WARM_MILLIS = 6_000;
+  private static final long WARM_UP_MILLIS = 6_000;
   private static final long WORK_MILLIS = 300;
   private static final long COLD_MILLIS = 1_000;
 
   /**
-   * How long people wait after a suspend before they begin, as nobody tells them when the last call
-   * has ended.
+   * How long operators without a plan wait after a suspend before they begin, as they do not learn
+   * when the last call has ended.
    */
-  private static final long WAIT_MILLIS = 1_500;
+  private static final long SUSPEND_WAIT_MILLIS = 1_500;
 
-  private static final long AIM_MICROS = 800_000;
+  private static final long LATENCY_TARGET_MICROS = 800_000;
 
   private final Processes fleet;
   private final List<EmulatedWorker> workers = new ArrayList<>();
-  private final int[] invoke = new int[FRONTS];
-  private final ExecutorService people = Executors.newCachedThreadPool();
+  private final int[] invokePorts = new int[FRONT_ENDS];
+  private final ExecutorService executor = Executors.newCachedThreadPool();
   private final HttpClient http = HttpClient.newHttpClient();
-  private final ConcurrentHistogram took = new ConcurrentHistogram(3);
-  private final Map<String, AtomicInteger> ends = new ConcurrentHashMap<>();
-  private final AtomicInteger sentToFree = new AtomicInteger();
-  private volatile boolean over;
-  private volatile boolean seen;
+  private final ConcurrentHistogram latencyMicros = new ConcurrentHistogram(3);
+  private final Map<String, AtomicInteger> outcomes = new ConcurrentHashMap<>();
+  private final AtomicInteger callsToFreeMachines = new AtomicInteger();
+  private volatile boolean closed;
+  private volatile boolean recording;
 
   private WorksService(long seed) throws Exception {
-    for (int i = 0; i < FRONTS; i++) {
-      invoke[i] = Processes.freePort();
+    for (int i = 0; i < FRONT_ENDS; i++) {
+      invokePorts[i] = Processes.freePort();
     }
     fleet =
         new Processes(
-            FRONTS,
+            FRONT_ENDS,
             WORKERS,
             i ->
                 new TreeMap<>(
@@ -70,7 +71,7 @@
                         "fleet",
                         new TreeMap<>(),
                         "invoke",
-                        Map.of("listen", "127.0.0.1:" + invoke[i]),
+                        Map.of("listen", "127.0.0.1:" + invokePorts[i]),
                         "leases",
                         new TreeMap<>(
                             Map.of(
@@ -93,45 +94,49 @@
     Processes.await(
         "not all on the roll",
         20,
-        () -> show().getAsJsonObject("ledger").getAsJsonArray("roll").size() == FRONTS);
+        () -> show().getAsJsonObject("ledger").getAsJsonArray("roll").size() == FRONT_ENDS);
     fleet.addClients();
     fleet.addClients();
-    for (int i = 0; i < FRONTS; i++) {
+    for (int i = 0; i < FRONT_ENDS; i++) {
       int front = i;
-      people.submit(() -> invocations(front));
+      executor.submit(() -> invokeInLoop(front));
     }
     fleet.seen =
         (n, micros, error) ->
-            seen(micros, error == null ? "served" : error.contains("Shed") ? "refused" : "failed");
-    Thread.sleep(WARM_MILLIS);
+            recordCall(
+                micros, error == null ? "served" : error.contains("Shed") ? "refused" : "failed");
+    Thread.sleep(WARM_UP_MILLIS);
   }
 
   public static void main(String[] args) throws Exception {
     for (int round = 1; round <= Integer.parseInt(args[0]); round++) {
-      List<String> all = new ArrayList<>(List.of("nobody", "plan", "by hand"));
-      java.util.Collections.rotate(all, round); // so that none is always the last on a warm machine
-      for (String how : all) {
-        WorksService s = new WorksService(round);
-        s.play(how);
-        s.close();
+      List<String> modes = new ArrayList<>(List.of("no work", "plan", "manual"));
+      // Rotated, so that none always runs last, on a warmed-up machine.
+      java.util.Collections.rotate(modes, round);
+      for (String mode : modes) {
+        WorksService service = new WorksService(round);
+        service.measure(mode);
+        service.close();
       }
     }
     System.exit(0);
   }
 
-  private void seen(long micros, String end) {
-    if (!seen) {
+  private void recordCall(long micros, String end) {
+    if (!recording) {
       return;
     }
-    took.recordValue(micros);
-    ends.computeIfAbsent(
-            end.equals("served") && micros > AIM_MICROS ? "late" : end, e -> new AtomicInteger())
+    latencyMicros.recordValue(micros);
+    outcomes
+        .computeIfAbsent(
+            end.equals("served") && micros > LATENCY_TARGET_MICROS ? "late" : end,
+            e -> new AtomicInteger())
         .incrementAndGet();
   }
 
-  private Void invocations(int front) throws Exception {
-    for (long id = 1; !over; id++) {
-      long asked = System.nanoTime();
+  private Void invokeInLoop(int front) throws Exception {
+    for (long id = 1; !closed; id++) {
+      long startedAt = System.nanoTime();
       int status;
       try {
         status =
@@ -139,7 +144,7 @@
                     HttpRequest.newBuilder(
                             URI.create(
                                 "http://127.0.0.1:"
-                                    + invoke[front]
+                                    + invokePorts[front]
                                     + "/v1/functions/"
                                     + String.format("%016x", 1 + id * 7919 % fleet.functions)
                                     + "/invocations"))
@@ -153,8 +158,8 @@
       } catch (java.io.IOException e) {
         status = 0;
       }
-      seen(
-          (System.nanoTime() - asked) / 1_000,
+      recordCall(
+          (System.nanoTime() - startedAt) / 1_000,
           status == 200 ? "served" : status == 503 || status == 429 ? "refused" : "failed");
       Thread.sleep(10);
     }
@@ -178,50 +183,54 @@
     return order(0, "{\"do\":\"show\",\"id\":\"\",\"by\":\"people\"}");
   }
 
-  private void play(String how) throws Exception {
-    took.reset();
-    ends.clear();
-    seen = true;
+  private void measure(String mode) throws Exception {
+    latencyMicros.reset();
+    outcomes.clear();
+    recording = true;
     int runs = workers.stream().mapToInt(EmulatedWorker::runs).sum();
     int loads = workers.stream().mapToInt(EmulatedWorker::loads).sum();
-    long began = System.nanoTime();
-    switch (how) {
-      case "plan" -> byPlan();
-      case "by hand" -> byHand();
+    long startedAt = System.nanoTime();
+    switch (mode) {
+      case "plan" -> runPlan();
+      case "manual" -> suspendManually();
       default -> Thread.sleep(12_000);
     }
-    double seconds = (System.nanoTime() - began) / 1e9;
-    seen = false; // the figures stand still while they are told
+    double seconds = (System.nanoTime() - startedAt) / 1e9;
+    // No calls are recorded while the results are printed.
+    recording = false;
     Thread.sleep(20);
-    long calls = took.getTotalCount();
+    long calls = latencyMicros.getTotalCount();
     System.out.printf(
-        "%s: %.1f s, %d calls, refused %.4f, late %.4f, failed %.4f, median %.0f, mean %.0f and 99th percentile %.0f ms, loads %d of %d sends, sent to machines that "
-            + "were worked on %d, owed %s%n",
-        how,
+        "%s: %.1f s, %d calls, refused %.4f, late %.4f, failed %.4f, median %.0f, mean %.0f and "
+            + "99th percentile %.0f ms, loads %d of %d sends, calls to machines that were worked "
+            + "on %d, calls without exactly one answer %s%n",
+        mode,
         seconds,
         calls,
         share("refused"),
         share("late"),
         share("failed"),
-        took.getValueAtPercentile(50) / 1e3,
-        took.getMean() / 1e3,
-        took.getValueAtPercentile(99) / 1e3,
+        latencyMicros.getValueAtPercentile(50) / 1e3,
+        latencyMicros.getMean() / 1e3,
+        latencyMicros.getValueAtPercentile(99) / 1e3,
         workers.stream().mapToInt(EmulatedWorker::loads).sum() - loads,
         workers.stream().mapToInt(EmulatedWorker::runs).sum() - runs,
-        sentToFree.get(),
+        callsToFreeMachines.get(),
         fleet.faults);
   }
 
   private double share(String end) {
-    AtomicInteger n = ends.get(end);
-    return n == null ? 0 : (double) n.get() / took.getTotalCount();
+    AtomicInteger n = outcomes.get(end);
+    return n == null ? 0 : (double) n.get() / latencyMicros.getTotalCount();
   }
 
-  private void byPlan() throws Exception {
+  /** Runs one plan over all machines, and works on each that becomes free. */
+  private void runPlan() throws Exception {
     JsonObject o =
         order(
             1,
-            "{\"do\":\"plan\",\"id\":\"all\",\"why\":\"disks\",\"by\":\"people\",\"all\":true,\"at_once\":"
+            "{\"do\":\"plan\",\"id\":\"all\",\"why\":\"disks\",\"by\":\"people\",\"all\":true,"
+                + "\"at_once\":"
                 + AT_ONCE
                 + ",\"halls_at_once\":true,\"floor\":8}");
     if (o.has("fault")) {
@@ -234,7 +243,7 @@
         JsonObject m = e.getAsJsonObject();
         String name = m.get("name").getAsString();
         if (m.get("stage").getAsString().equals("FREE") && worked.add(name)) {
-          people.submit(
+          executor.submit(
               () -> {
                 work(Integer.parseInt(name.substring(1)));
                 return null;
@@ -255,21 +264,23 @@
     }
   }
 
+  /** Works on a free machine, and counts the calls that reach it meanwhile. */
   private void work(int worker) throws InterruptedException {
     int before = workers.get(worker).runs();
     Thread.sleep(WORK_MILLIS);
-    sentToFree.addAndGet(workers.get(worker).runs() - before);
+    callsToFreeMachines.addAndGet(workers.get(worker).runs() - before);
     workers.get(worker).restart();
     fleet.list(worker, "in_service", System.currentTimeMillis());
   }
 
-  private void byHand() throws Exception {
+  /** Suspends, works on and resumes machines in groups, as operators without a plan do. */
+  private void suspendManually() throws Exception {
     for (int first = 0; first < WORKERS; first += AT_ONCE) {
       List<Thread> threads = new ArrayList<>();
       for (int i = first; i < first + AT_ONCE; i++) {
-        door("w" + i, "suspend");
+        callOperator("w" + i, "suspend");
       }
-      Thread.sleep(WAIT_MILLIS);
+      Thread.sleep(SUSPEND_WAIT_MILLIS);
       for (int i = first; i < first + AT_ONCE; i++) {
         int worker = i;
         Thread t =
@@ -288,13 +299,14 @@
         t.join();
       }
       for (int i = first; i < first + AT_ONCE; i++) {
-        door("w" + i, "resume");
+        callOperator("w" + i, "resume");
       }
       Thread.sleep(COLD_MILLIS);
     }
   }
 
-  private void door(String worker, String verb) throws Exception {
+  /** Suspends or resumes a worker at each front end. */
+  private void callOperator(String worker, String verb) throws Exception {
     for (Processes.Node n : fleet.nodes) {
       try (Socket s = new Socket("127.0.0.1", n.door)) {
         s.getOutputStream()
@@ -311,8 +323,8 @@
   }
 
   private void close() throws Exception {
-    over = true;
-    people.shutdownNow();
+    closed = true;
+    executor.shutdownNow();
     fleet.close();
     Processes.deleteStateDirs();
   }
--- a/src/test/java/umberrun/works/WorksFigures.java
+++ b/src/test/java/umberrun/works/WorksFigures.java
@@ -33,8 +33,9 @@
           results.add(simulate(frontEnds, orderName, seed));
         }
         System.out.printf(
-            "%d front ends, order %s: %.1f s (minimum %.0f), %.1f steps per machine, ledger %.0f bytes, "
-                + "%.1f copies loaded elsewhere, %.1f calls in flight at machines that went out, "
+            "%d front ends, order %s: %.1f s (minimum %.0f), %.1f steps per machine, "
+                + "ledger %.0f bytes, %.1f copies loaded elsewhere, "
+                + "%.1f calls in flight at machines that went out, "
                 + "%.2f ms of executor time per second%n",
             frontEnds,
             orderName,
--- a/src/test/java/umberrun/works/WorksRulesTest.java
+++ b/src/test/java/umberrun/works/WorksRulesTest.java
@@ -25,9 +25,22 @@
   private static final Member B = new Member("b", "2");
   private static final long SECOND = 1_000_000;
 
-  private static Plan plan(String id, int atOnce, boolean oneHall, int floor, Late late) {
+  private static Plan plan(
+      String id, int maxMissing, boolean singleHall, int minReady, Late whenOverdue) {
     return new Plan(
-        id, "op", "disks", atOnce, oneHall, floor, 0, 5_000, late, false, false, State.RUNNING, "");
+        id,
+        "op",
+        "disks",
+        maxMissing,
+        singleHall,
+        minReady,
+        0,
+        5_000,
+        whenOverdue,
+        false,
+        false,
+        State.RUNNING,
+        "");
   }
 
   private static Machine waiting(String name, String hall, String plan) {
@@ -49,9 +62,10 @@
       Member m,
       Map<String, FrontEndReport.BanProgress> out,
       Map<String, Set<String>> copies,
-      double taken,
-      double refused) {
-    return new FrontEndReport(m, out, Set.of(), Map.of("x1", 4), copies, taken, refused);
+      double callsPerSecond,
+      double refusedPerSecond) {
+    return new FrontEndReport(
+        m, out, Set.of(), Map.of("x1", 4), copies, callsPerSecond, refusedPerSecond);
   }
 
   private static Ledger twoMembersAndAPlan() {
@@ -171,8 +185,8 @@
   }
 
   private static PlanExecutor.PlannedStep nextStep(
-      PlanExecutor executor, long at, Ledger ledger, MachineView w, List<FrontEndReport> reports) {
-    return executor.nextStep(at, ledger, w, reports);
+      PlanExecutor executor, long now, Ledger ledger, MachineView w, List<FrontEndReport> reports) {
+    return executor.nextStep(now, ledger, w, reports);
   }
 
   /**
@@ -250,22 +264,23 @@
   /** An overdue machine is marked, skipped or holds its plan, as the plan says. */
   @Test
   public void overdueMachinesAreTreatedAsThePlanSays() {
-    for (Late late : Late.values()) {
+    for (Late whenOverdue : Late.values()) {
       PlanExecutor executor =
           new PlanExecutor(new PlanExecutor.Settings(SECOND, SECOND, 9, 0.9), 1);
       Ledger ledger =
           Ledger.EMPTY
               .join(A, true)
-              .addPlan(plan("p", 1, true, 0, late), List.of(waiting("x0", "x", "p")))
+              .addPlan(plan("p", 1, true, 0, whenOverdue), List.of(waiting("x0", "x", "p")))
               .takeOver(1)
               .advance(1, "x0", Stage.MOVING, 5, "")
               .advance(1, "x0", Stage.GOING, 5, "");
       assertNull(executor.nextStep(0, ledger, view(), List.of()));
       Ledger after = executor.nextStep(6 * SECOND, ledger, view(), List.of()).step().apply(ledger);
       assertEquals(
-          late == Late.HOLD ? State.HELD : State.RUNNING, after.plan("p").orElseThrow().state());
+          whenOverdue == Late.HOLD ? State.HELD : State.RUNNING,
+          after.plan("p").orElseThrow().state());
       assertEquals(
-          late != Late.SKIP,
+          whenOverdue != Late.SKIP,
           after.activeMachine("x0") != null && after.activeMachine("x0").overdue());
     }
   }
--- a/src/test/java/umberrun/works/WorksSeedsTest.java
+++ b/src/test/java/umberrun/works/WorksSeedsTest.java
@@ -28,15 +28,16 @@
   private int freedMachines;
   private int sentCalls;
 
-  private static Plan plan(String id, int atOnce, boolean oneHall, int floor, int hallFloor) {
+  private static Plan plan(
+      String id, int maxMissing, boolean singleHall, int minReady, int minReadyPerHall) {
     return new Plan(
         id,
         "op",
         "new disks",
-        atOnce,
-        oneHall,
-        floor,
-        hallFloor,
+        maxMissing,
+        singleHall,
+        minReady,
+        minReadyPerHall,
         20_000,
         Late.WAIT,
         false,
@@ -51,7 +52,7 @@
     WorksSimulation simulation =
         new WorksSimulation(
             3 + random.nextInt(3), 1 + random.nextInt(3), 3, random.nextLong(), factory);
-    int atOnce = 1 + random.nextInt(2);
+    int maxMissing = 1 + random.nextInt(2);
     try {
       simulation.run(2 * SECOND);
       List<String> names = new ArrayList<>(simulation.names());
@@ -60,13 +61,13 @@
           "p",
           plan(
               "p",
-              atOnce,
+              maxMissing,
               random.nextBoolean(),
               Math.max(0, names.size() - 2 - random.nextInt(2)),
               0),
           names.subList(0, names.size() / 2 + 1));
       for (int i = 0; i < 12; i++) {
-        injectFault(simulation, random, names, atOnce);
+        injectFault(simulation, random, names, maxMissing);
         simulation.run(random.nextLong(3 * SECOND));
       }
       healAndFinish(simulation, names);
@@ -74,9 +75,8 @@
           i < 40 && simulation.ledger().plans().stream().anyMatch(p -> !p.state().isOver());
           i++) {
         simulation.run(5 * SECOND);
-        // Operators report the work as done where the simulation does not: on machines whose plan
-        // was
-        // cancelled during the work, or that are overdue.
+        // Operators report the work as done where the simulation does not: on machines that are
+        // overdue, or whose plan was cancelled during the work.
         simulation.ledger().machines().stream()
             .filter(
                 m ->
@@ -90,11 +90,11 @@
       sentCalls += simulation.sentCalls();
       // Without the machines that are gone forever the minimum of ready machines may be out of
       // reach; the reasons must then say so.
-      boolean floorUnreachable =
+      boolean minReadyUnreachable =
           !simulation.places().isEmpty()
               && simulation.places().stream()
                   .allMatch(p -> p.reasons().stream().anyMatch(r -> r.contains("must stay")));
-      return floorUnreachable
+      return minReadyUnreachable
               || simulation.ledger().plans().stream().allMatch(p -> p.state().isOver())
                   && !simulation.ledger().plans().isEmpty()
           ? null
@@ -131,7 +131,7 @@
 
   /** Causes one random fault or order. */
   private void injectFault(
-      WorksSimulation simulation, SplittableRandom random, List<String> names, int atOnce) {
+      WorksSimulation simulation, SplittableRandom random, List<String> names, int maxMissing) {
     int frontEnd = random.nextInt(simulation.frontCount());
     String machine = names.get(random.nextInt(names.size()));
     long healAt = simulation.net().now() + random.nextLong(6 * SECOND);
@@ -178,7 +178,7 @@
       case 10 -> simulation.order(frontEnd, l -> l.skip("op", machine));
       case 11 -> {
         String id = "q" + random.nextInt(3);
-        simulation.plan(frontEnd, id, plan(id, atOnce, false, 0, 0), List.of(machine));
+        simulation.plan(frontEnd, id, plan(id, maxMissing, false, 0, 0), List.of(machine));
       }
       case 12 -> {
         if (random.nextInt(4) == 0) {
