--- a/src/main/java/umberrun/cli/Commands.java
+++ b/src/main/java/umberrun/cli/Commands.java
@@ -23,8 +23,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * What operators ask from a shell. Not loaded by {@code serve}, which starts without a command
- * line's cost.
+ * The root of the operators' command line. The {@code serve} command does not load this class, so
+ * that starting a front end does not pay for the command-line parser.
  */
 @Command(
     name = "umberrun",
@@ -44,7 +44,7 @@
 public final class Commands implements Runnable {
   @Spec private CommandSpec spec;
 
-  /** Runs a command; its exit status. */
+  /** Runs the command that the arguments name, and returns its exit status. */
   public static int run(String... args) {
     return new CommandLine(new Commands()).execute(args);
   }
@@ -54,37 +54,55 @@
     throw new ParameterException(spec.commandLine(), "a command is missing");
   }
 
-  /** Named here for its help alone: {@code Main} starts it without coming by. */
+  /** Declared only for the help text: {@code Main} starts this command without this class. */
   @Command(
       name = "serve",
-      description = "One real front end, configured by EDGE_CONFIG and UMBERRUN_OPERATOR.")
+      description = "Runs a front end, configured by EDGE_CONFIG and UMBERRUN_OPERATOR.")
   static final class Serve {}
 
-  /** The same. */
-  @Command(name = "benchlink", description = "The same decisions on the simulator's wire.")
+  /** Declared only for the help text: {@code Main} starts this command without this class. */
+  @Command(
+      name = "benchlink",
+      description = "Runs the same dispatching logic on the simulator's protocol.")
   static final class Benchlink {}
 
-  /** Shows the facts of a running instance. */
+  /** Prints the facts that a running instance holds, page by page. */
   @Command(
       name = "knowledge",
       mixinStandardHelpOptions = true,
-      description = "What an instance believes, where it is from and how old it is.")
+      description = "Shows the facts that an instance holds, with their source and age.")
   static final class Knowledge implements Callable<Integer> {
-    private static final Duration PATIENCE = Duration.ofSeconds(5);
-    private static final List<String> KINDS = List.of("copy", "worker", "function");
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(5);
+
+    /** The names of the kinds of fact, by their number in an answer. */
+    private static final List<String> KIND_NAMES = List.of("copy", "worker", "function");
+
+    private static final int COPY_KIND = 0;
+    private static final int WORKER_KIND = 1;
+
+    /** The index in a fact at which its numeric values begin. */
+    private static final int VALUES_START = 5;
+
+    private static final int WORKER_VALUES_END = 7;
+    private static final int FUNCTION_VALUES_END = 9;
 
     @Spec private CommandSpec spec;
 
-    @Parameters(paramLabel = "HOST:PORT", description = "learning.listen of the instance")
+    @Parameters(
+        paramLabel = "HOST:PORT",
+        description = "the learning.listen address of the instance")
     private String address;
 
     @Option(
         names = "--within",
         paramLabel = "MS",
-        description = "only what was seen in the last so many milliseconds")
+        description = "show only facts observed within this many milliseconds")
     private Long within;
 
-    @Option(names = "--worker", paramLabel = "NAME", description = "only what is about this worker")
+    @Option(
+        names = "--worker",
+        paramLabel = "NAME",
+        description = "show only facts about this worker")
     private String worker;
 
     @Override
@@ -93,7 +111,7 @@
       long from = 0;
       try {
         while (from >= 0) {
-          JsonObject page = page(from);
+          JsonObject page = fetchPage(from);
           if (from == 0) {
             out.printf(
                 "instance %s, up for %d ms, %d facts%n",
@@ -101,7 +119,7 @@
                 page.get("uptime_ms").getAsLong(),
                 page.get("known").getAsLong());
           }
-          page.getAsJsonArray("facts").forEach(f -> print(out, f.getAsJsonArray()));
+          page.getAsJsonArray("facts").forEach(fact -> print(out, fact.getAsJsonArray()));
           from = page.get("next").getAsLong();
         }
         out.flush();
@@ -117,8 +135,8 @@
       }
     }
 
-    private JsonObject page(long from) throws IOException, InterruptedException {
-      HttpResponse<String> r =
+    private JsonObject fetchPage(long from) throws IOException, InterruptedException {
+      HttpResponse<String> response =
           HttpClient.newHttpClient()
               .send(
                   HttpRequest.newBuilder(
@@ -128,41 +146,44 @@
                                   + "/v1/knowledge?v=1&from="
                                   + from
                                   + (within == null ? "" : "&within_ms=" + within)))
-                      .timeout(PATIENCE)
+                      .timeout(REQUEST_TIMEOUT)
                       .build(),
                   HttpResponse.BodyHandlers.ofString());
-      if (r.statusCode() != 200) {
+      if (response.statusCode() != 200) {
         throw new IOException(
             "status "
-                + r.statusCode()
-                + r.headers()
+                + response.statusCode()
+                + response
+                    .headers()
                     .firstValue("Retry-After")
-                    .map(s -> ", again in " + s + " s")
+                    .map(seconds -> ", again in " + seconds + " s")
                     .orElse(""));
       }
-      return JsonParser.parseString(r.body()).getAsJsonObject();
+      return JsonParser.parseString(response.body()).getAsJsonObject();
     }
 
-    private void print(PrintWriter out, JsonArray f) {
-      String about = f.get(1).getAsString();
-      if (worker != null && !worker.equals(about)) {
+    private void print(PrintWriter out, JsonArray fact) {
+      String subjectWorker = fact.get(1).getAsString();
+      if (worker != null && !worker.equals(subjectWorker)) {
         return;
       }
-      int kind = f.get(0).getAsInt();
-      StringBuilder figures = new StringBuilder();
-      if (kind > 0) { // that a copy stood loaded has none
-        for (JsonElement x : f.asList().subList(5, kind == 1 ? 7 : 9)) {
-          figures.append(String.format(" %.3g", x.getAsDouble()));
+      int kind = fact.get(0).getAsInt();
+      StringBuilder values = new StringBuilder();
+      // A fact about a loaded copy has no numeric values.
+      if (kind > COPY_KIND) {
+        int valuesEnd = kind == WORKER_KIND ? WORKER_VALUES_END : FUNCTION_VALUES_END;
+        for (JsonElement value : fact.asList().subList(VALUES_START, valuesEnd)) {
+          values.append(String.format(" %.3g", value.getAsDouble()));
         }
       }
       out.printf(
           "%-8s %-16s %-16s %6d ms ago, seen by %s%s%n",
-          KINDS.get(kind),
-          about.isEmpty() ? "-" : about,
-          kind == 1 ? "-" : f.get(2).getAsString(),
-          f.get(3).getAsLong(),
-          f.get(4).getAsString(),
-          figures);
+          KIND_NAMES.get(kind),
+          subjectWorker.isEmpty() ? "-" : subjectWorker,
+          kind == WORKER_KIND ? "-" : fact.get(2).getAsString(),
+          fact.get(3).getAsLong(),
+          fact.get(4).getAsString(),
+          values);
     }
   }
 }
--- a/src/main/java/umberrun/cli/FleetCommand.java
+++ b/src/main/java/umberrun/cli/FleetCommand.java
@@ -21,29 +21,38 @@
 import umberrun.fleet.net.FleetClient;
 import umberrun.fleet.net.FleetCodec.Frame;
 
-/** Who is in the fleet, as one member sees it. */
+/** Prints the members of the fleet as one member sees them. */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
-    description = "Who is in the fleet, as one member sees it.",
+    description = "Shows the members of the fleet as one member sees them.",
     subcommands = FleetCommand.Leave.class)
 final class FleetCommand implements Callable<Integer> {
-  /** Whom to ask. */
+  /** The fleet member that a command sends its request to. */
   static final class Member {
-    @Parameters(paramLabel = "HOST:PORT", arity = "0..1", description = "fleet.listen of a member")
+    @Parameters(
+        paramLabel = "HOST:PORT",
+        arity = "0..1",
+        description = "the fleet.listen address of a member")
     private String address;
 
+    /** Sends a request without arguments and returns the answer. */
     JsonObject ask(Frame.Kind kind) throws IOException {
       return ask(kind, "");
     }
 
-    /** Calls a part of a member that uses the fleet's listener; its no is an exception. */
+    /**
+     * Calls a topic that the member serves on its fleet listener.
+     *
+     * @param words the topic and the arguments, separated by spaces
+     * @throws IOException if the member can't be reached, or answers with a fault
+     */
     JsonObject call(String words) throws IOException {
-      JsonObject o = ask(Frame.Kind.CALL, words);
-      if (o.has("fault")) {
-        throw new IOException(o.get("fault").getAsString());
+      JsonObject answer = ask(Frame.Kind.CALL, words);
+      if (answer.has("fault")) {
+        throw new IOException(answer.get("fault").getAsString());
       }
-      return o;
+      return answer;
     }
 
     private JsonObject ask(Frame.Kind kind, String words) throws IOException {
@@ -64,7 +73,8 @@
       }
     }
 
-    int silent(CommandSpec spec, IOException e) {
+    /** Reports a failed request on the error stream and returns the exit status 1. */
+    int reportFailure(CommandSpec spec, IOException e) {
       spec.commandLine()
           .getErr()
           .println("umberrun: " + address + " does not tell: " + e.getMessage());
@@ -72,16 +82,18 @@
     }
   }
 
-  private static final long WATCH_MILLIS = 1_000;
+  private static final long WATCH_INTERVAL_MILLIS = 1_000;
+
+  private static final double MILLIS_PER_SECOND = 1e3;
 
   @Spec private CommandSpec spec;
 
   @Mixin private Member member;
 
-  @Option(names = "--json", description = "as JSON")
+  @Option(names = "--json", description = "print the answer as JSON")
   private boolean json;
 
-  @Option(names = "--watch", description = "again every second, until it no longer tells")
+  @Option(names = "--watch", description = "repeat every second until the member no longer answers")
   private boolean watch;
 
   @Override
@@ -100,12 +112,12 @@
         }
         out.flush();
         if (watch) {
-          Thread.sleep(WATCH_MILLIS);
+          Thread.sleep(WATCH_INTERVAL_MILLIS);
         }
       } while (watch);
       return 0;
     } catch (IOException e) {
-      return member.silent(spec, e);
+      return member.reportFailure(spec, e);
     }
   }
 
@@ -132,41 +144,46 @@
     List<JsonObject> members = new ArrayList<>();
     view.getAsJsonArray("members").forEach(m -> members.add(m.getAsJsonObject()));
     members.sort(Comparator.comparing(m -> text(m, "name")));
-    for (JsonObject m : members) {
+    for (JsonObject entry : members) {
       out.printf(
           "%-20s %-10s %-8s %-9s %9s %9s %8s %-21s %s%n",
-          text(m, "name"),
-          text(m, "hall"),
-          text(m, "status"),
-          text(m, "state"),
-          seconds(m, "since_ms"),
-          seconds(m, "heard_ms"),
-          text(m, "round_trip_us"),
-          text(m, "address"),
-          m.has("suspected_by")
-              ? StreamSupport.stream(m.getAsJsonArray("suspected_by").spliterator(), false)
+          text(entry, "name"),
+          text(entry, "hall"),
+          text(entry, "status"),
+          text(entry, "state"),
+          seconds(entry, "since_ms"),
+          seconds(entry, "heard_ms"),
+          text(entry, "round_trip_us"),
+          text(entry, "address"),
+          entry.has("suspected_by")
+              ? StreamSupport.stream(entry.getAsJsonArray("suspected_by").spliterator(), false)
                   .map(JsonElement::getAsString)
                   .collect(Collectors.joining(" "))
               : "");
     }
   }
 
-  static String text(JsonObject o, String key) {
-    return o.has(key) ? o.get(key).getAsString() : "-";
+  /** The value of a field as text, or {@code -} where the object lacks it. */
+  static String text(JsonObject object, String key) {
+    return object.has(key) ? object.get(key).getAsString() : "-";
   }
 
-  static String seconds(JsonObject o, String key) {
-    return o.has(key) && o.get(key).getAsLong() >= 0
-        ? String.format("%.1f", o.get(key).getAsLong() / 1e3)
+  /**
+   * A field in milliseconds as seconds with one decimal, or {@code -} where it is negative or the
+   * object lacks it.
+   */
+  static String seconds(JsonObject object, String key) {
+    return object.has(key) && object.get(key).getAsLong() >= 0
+        ? String.format("%.1f", object.get(key).getAsLong() / MILLIS_PER_SECOND)
         : "-";
   }
 
-  /** Has a member say good-bye; it goes on serving. */
+  /** Makes a member leave the fleet. It goes on serving calls. */
   @Command(
       name = "leave",
       mixinStandardHelpOptions = true,
       description =
-          "Has a member say good-bye to the fleet; it serves on, and comes back with its next start.")
+          "Makes a member leave the fleet. It goes on serving calls, and rejoins when it next starts.")
   static final class Leave implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -179,7 +196,7 @@
         spec.commandLine().getOut().println(left ? "left" : "had left before");
         return 0;
       } catch (IOException e) {
-        return member.silent(spec, e);
+        return member.reportFailure(spec, e);
       }
     }
   }
--- a/src/main/java/umberrun/cli/SimulateCommand.java
+++ b/src/main/java/umberrun/cli/SimulateCommand.java
@@ -26,12 +26,12 @@
 import umberrun.fleet.net.FleetCodec;
 import umberrun.fleet.sim.FleetSimulation;
 
-/** Tries the parts that front ends share on a virtual clock and network. */
+/** Simulates the protocols between front ends on a virtual clock and network. */
 @Command(
     name = "simulate",
     mixinStandardHelpOptions = true,
     subcommands = SimulateCommand.Fleet.class,
-    description = "Tries what front ends settle among themselves on a virtual clock and network.")
+    description = "Simulates the protocols between front ends on a virtual clock and network.")
 final class SimulateCommand implements Runnable {
   @Spec private CommandSpec spec;
 
@@ -40,106 +40,130 @@
     throw new ParameterException(spec.commandLine(), "what to simulate is missing");
   }
 
-  /** A time with its unit, in microseconds. */
+  /** Converts a duration with a unit, such as {@code 200ms}, to microseconds. */
   static final class Micros implements ITypeConverter<Long> {
-    private static final Pattern FORM = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m)");
+    private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)(ms|s|m)");
 
     @Override
     public Long convert(String text) {
-      Matcher m = FORM.matcher(text);
-      if (!m.matches()) {
+      Matcher matcher = DURATION.matcher(text);
+      if (!matcher.matches()) {
         throw new TypeConversionException("'" + text + "' is not a time such as 200ms, 5s or 1m");
       }
-      double unit =
-          switch (m.group(2)) {
+      double unitMicros =
+          switch (matcher.group(2)) {
             case "ms" -> 1e3;
             case "s" -> 1e6;
             default -> 60e6;
           };
-      return (long) (Double.parseDouble(m.group(1)) * unit);
+      return (long) (Double.parseDouble(matcher.group(1)) * unitMicros);
     }
   }
 
-  /** The view of the fleet: joins, deaths, cuts and pauses at a size that sockets do not reach. */
+  /**
+   * Simulates fleet membership through joins, crashes, a network partition and a pause, at fleet
+   * sizes that are out of reach with real sockets.
+   */
   @Command(
       name = "fleet",
       mixinStandardHelpOptions = true,
       description =
-          "Joining, a third killed, a cut, a pause: times to detect and to settle, accusations and cost.")
+          "Simulates joins, the crash of a third of the members, a network partition and a pause; reports detection and convergence times, wrong accusations and network cost.")
   static final class Fleet implements Callable<Integer> {
-    private static final long MOST_SETTLE = 600 * MembershipSettings.SECOND;
+    private static final int MIN_MEMBERS = 2;
+    private static final int MAX_MEMBERS = 4_000;
+
+    /** After this long without convergence the result is reported as not a number. */
+    private static final long MAX_CONVERGENCE_MICROS = 600 * MembershipSettings.SECOND;
+
+    /** The interval at which convergence is checked and the views are sampled for the plot. */
+    private static final long SAMPLE_INTERVAL_MICROS = MembershipSettings.SECOND / 4;
+
+    /** The shortest one-way delay of a datagram, unless {@code --delay} is shorter. */
+    private static final long MIN_DELAY_MICROS = 200;
+
+    private static final double MICROS_PER_SECOND = 1e6;
+    private static final double MILLIS_PER_SECOND = 1e3;
+    private static final long MICROS_PER_MILLI = 1_000;
+    private static final int SECONDS_PER_HOUR = 3_600;
+
+    /** One in this many members is killed and started again. */
+    private static final int KILL_STEP = 3;
+
+    /** Turns off the slow member in {@link FleetSimulation#slow}. */
+    private static final int NO_MEMBER = -1;
 
     @Spec private CommandSpec spec;
 
     @Option(
         names = "--members",
         defaultValue = "100",
-        description = "how many (default ${DEFAULT-VALUE})")
+        description = "number of members (default ${DEFAULT-VALUE})")
     private int members;
 
     @Option(
         names = "--loss",
         defaultValue = "0",
-        description = "of the datagrams, the part that is lost")
+        description = "share of the datagrams that is lost")
     private double loss;
 
     @Option(
         names = "--duplicates",
         defaultValue = "0.01",
-        description = "the part that comes twice")
+        description = "share of the datagrams that arrives twice")
     private double duplicates;
 
     @Option(
         names = "--delay",
         defaultValue = "20ms",
         converter = Micros.class,
-        description = "the longest, one way; " + "unequal delays reorder")
+        description = "longest one-way delay of a datagram; unequal delays reorder datagrams")
     private long delay;
 
     @Option(
         names = "--cut",
         defaultValue = "5s",
         converter = Micros.class,
-        description = "how long halves are cut off")
+        description = "how long the two halves of the fleet are partitioned")
     private long cut;
 
-    @Option(names = "--one-way", description = "the cut is one way only")
+    @Option(names = "--one-way", description = "partition in one direction only")
     private boolean oneWay;
 
     @Option(
         names = "--pause",
         defaultValue = "30s",
         converter = Micros.class,
-        description = "how long one stands still")
+        description = "how long one member is paused")
     private long pause;
 
     @Option(
         names = "--quiet",
         defaultValue = "60s",
         converter = Micros.class,
-        description = "how long nothing happens, " + "to count wrong accusations and cost")
+        description = "how long to run without faults, to count wrong accusations and network cost")
     private long quiet;
 
     @Option(
         names = "--interval",
         defaultValue = "500ms",
         converter = Micros.class,
-        description = "between probes")
+        description = "time between the probes of a member")
     private long interval;
 
     @Option(
         names = "--timeout",
         defaultValue = "200ms",
         converter = Micros.class,
-        description = "of a probe")
+        description = "timeout of a probe")
     private long timeout;
 
-    @Option(names = "--no-doubts", description = "without local health, to see what it is worth")
-    private boolean noDoubts;
+    @Option(names = "--no-doubts", description = "turn local health off, to measure its effect")
+    private boolean withoutLocalHealth;
 
     @Option(
         names = "--slow",
-        description = "one member's timers come late by this",
+        description = "delay of the timers of one member",
         converter = Micros.class,
         defaultValue = "0ms")
     private long slow;
@@ -147,24 +171,30 @@
     @Option(
         names = "--seed",
         defaultValue = "1",
-        description = "the same seed plays the same again")
+        description = "seed of the random numbers; the same seed repeats the same run")
     private long seed;
 
-    @Option(names = "--csv", description = "a file for the figures")
+    @Option(names = "--csv", description = "file to write the results to, as CSV")
     private Path csv;
 
-    @Option(names = "--plot", description = "a PNG file for how the views come to agree")
+    @Option(names = "--plot", description = "PNG file to plot the convergence of the views to")
     private Path plot;
 
-    private final List<String[]> figures = new ArrayList<>();
-    private final List<Double> times = new ArrayList<>();
-    private final List<Double> seen = new ArrayList<>();
-    private FleetSimulation trial;
+    /** The name and the formatted value of each result. */
+    private final List<String[]> results = new ArrayList<>();
+
+    /** The times of the samples for the plot, in seconds of virtual time. */
+    private final List<Double> sampleTimes = new ArrayList<>();
+
+    /** The mean number of members that the living members hold living, at each sample. */
+    private final List<Double> meanLivingCounts = new ArrayList<>();
+
+    private FleetSimulation simulation;
 
     @Override
     public Integer call() throws IOException {
-      if (members < 2
-          || members > 4_000
+      if (members < MIN_MEMBERS
+          || members > MAX_MEMBERS
           || loss < 0
           || loss >= 1
           || interval <= 0
@@ -172,150 +202,168 @@
         throw new ParameterException(
             spec.commandLine(), "2 to 4000 members, a loss from 0 to below 1, times above 0");
       }
-      MembershipSettings usual = FleetSimulation.settings(members);
-      trial =
+      MembershipSettings defaults = FleetSimulation.settings(members);
+      simulation =
           new FleetSimulation(
               members,
               new MembershipSettings(
-                  usual.fleet(),
-                  usual.seeds(),
+                  defaults.fleet(),
+                  defaults.seeds(),
                   interval,
                   timeout,
-                  usual.exchangeInterval(),
-                  usual.reconnectInterval(),
-                  usual.deadConfirmation(),
-                  usual.deadRetention(),
-                  usual.propagationTime(),
+                  defaults.exchangeInterval(),
+                  defaults.reconnectInterval(),
+                  defaults.deadConfirmation(),
+                  defaults.deadRetention(),
+                  defaults.propagationTime(),
                   2 * members,
                   members,
-                  !noDoubts),
+                  !withoutLocalHealth),
               seed,
               Membership::new);
-      trial.unchecked();
-      trial.net().setLinks(loss, duplicates, Math.min(200, delay), delay);
-      say("joined, s", settled(() -> {}));
-      quiet();
-      settledAfterDeaths();
-      say("a third back, s", settled(() -> each(0, 3, trial::start)));
-      say(
+      simulation.unchecked();
+      simulation.net().setLinks(loss, duplicates, Math.min(MIN_DELAY_MICROS, delay), delay);
+      addResult("joined, s", convergenceSeconds(() -> {}));
+      measureWithoutFaults();
+      measureCrashes();
+      addResult(
+          "a third back, s",
+          convergenceSeconds(() -> forEachMember(0, KILL_STEP, simulation::start)));
+      addResult(
           "after the cut, s",
-          settled(
+          convergenceSeconds(
               () -> {
                 if (oneWay) {
-                  each(0, 2, a -> each(1, 2, b -> trial.net().cut(a, b)));
+                  forEachMember(
+                      0, 2, from -> forEachMember(1, 2, to -> simulation.net().cut(from, to)));
                 } else {
-                  trial.cut(i -> i % 2);
+                  simulation.cut(i -> i % 2);
                 }
                 run(cut);
-                trial.net().healAll();
+                simulation.net().healAll();
               }));
-      say(
+      addResult(
           "after the pause, s",
-          settled(
+          convergenceSeconds(
               () -> {
-                trial.net().pause(members - 1);
+                simulation.net().pause(members - 1);
                 run(pause);
-                trial.net().resume(members - 1);
+                simulation.net().resume(members - 1);
               }));
       print();
       return 0;
     }
 
-    private interface Act {
-      void on(int member);
+    private interface MemberAction {
+      void run(int member);
     }
 
-    private void each(int from, int step, Act act) {
+    /** Runs an action for every {@code step}th member, from number {@code from} on. */
+    private void forEachMember(int from, int step, MemberAction action) {
       for (int i = from; i < members; i += step) {
-        act.on(i);
+        action.run(i);
       }
     }
 
+    /** Runs the simulation for a span in microseconds, and samples the views as it goes. */
     private void run(long span) {
-      for (long end = trial.net().now() + span; trial.net().now() < end; ) {
-        trial.net().run(Math.min(end, trial.net().now() + MembershipSettings.SECOND / 4));
-        double sum = 0;
+      for (long end = simulation.net().now() + span; simulation.net().now() < end; ) {
+        simulation.net().run(Math.min(end, simulation.net().now() + SAMPLE_INTERVAL_MICROS));
+        double livingCountSum = 0;
         int living = 0;
         for (int i = 0; i < members; i++) {
-          if (trial.lives(i)) {
-            sum += trial.process(i).livingCount() + 1;
+          if (simulation.lives(i)) {
+            livingCountSum += simulation.process(i).livingCount() + 1;
             living++;
           }
         }
-        times.add(trial.net().now() / 1e6);
-        seen.add(sum / Math.max(1, living));
+        sampleTimes.add(simulation.net().now() / MICROS_PER_SECOND);
+        meanLivingCounts.add(livingCountSum / Math.max(1, living));
       }
     }
 
     /**
-     * How long all take to agree after something, in seconds; with loss a suspicion under way is no
-     * disagreement.
+     * Runs an event and then the simulation until the views of all members agree. With loss, a
+     * suspicion that is still open does not count as a disagreement.
+     *
+     * @return the time from the end of the event to agreement, in seconds; NaN if the views did not
+     *     agree in time
      */
-    private double settled(Runnable first) {
-      first.run();
-      long begun = trial.net().now();
-      while (trial.net().now() - begun < MOST_SETTLE
-          && !(loss == 0 ? trial.isSettled() : trial.countsRight())) {
-        run(MembershipSettings.SECOND / 4);
+    private double convergenceSeconds(Runnable event) {
+      event.run();
+      long start = simulation.net().now();
+      while (simulation.net().now() - start < MAX_CONVERGENCE_MICROS
+          && !(loss == 0 ? simulation.isSettled() : simulation.countsRight())) {
+        run(SAMPLE_INTERVAL_MICROS);
       }
-      return trial.net().now() - begun < MOST_SETTLE
-          ? (trial.net().now() - begun) / 1e6
+      return simulation.net().now() - start < MAX_CONVERGENCE_MICROS
+          ? (simulation.net().now() - start) / MICROS_PER_SECOND
           : Double.NaN;
     }
 
-    private void quiet() {
-      trial.slow(slow > 0 ? 0 : -1, slow);
-      long packets = trial.packets();
-      long wrong = trial.wrongSuspicions();
-      long dead = trial.wrongDeaths();
+    /** Runs without faults, and records network cost and wrong accusations. */
+    private void measureWithoutFaults() {
+      simulation.slow(slow > 0 ? 0 : NO_MEMBER, slow);
+      long packets = simulation.packets();
+      long wrongSuspicions = simulation.wrongSuspicions();
+      long wrongDeaths = simulation.wrongDeaths();
       FleetCodec codec = new FleetCodec(FleetSimulation.settings(members).fleet());
-      trial.measure(m -> codec.encode(m).length);
-      long bytes = trial.bytes();
+      simulation.measure(message -> codec.encode(message).length);
+      long bytes = simulation.bytes();
       run(quiet);
-      double seconds = quiet / 1e6;
-      say("packets a member and second", (trial.packets() - packets) / seconds / members);
-      say("bytes a member and second", (trial.bytes() - bytes) / seconds / members);
-      say(
+      double seconds = quiet / MICROS_PER_SECOND;
+      addResult(
+          "packets a member and second", (simulation.packets() - packets) / seconds / members);
+      addResult("bytes a member and second", (simulation.bytes() - bytes) / seconds / members);
+      addResult(
           "wrong accusations a member and hour",
-          (trial.wrongSuspicions() - wrong) / seconds / members * 3_600);
-      say(
+          (simulation.wrongSuspicions() - wrongSuspicions) / seconds / members * SECONDS_PER_HOUR);
+      addResult(
           "wrong deaths a member and hour",
-          (trial.wrongDeaths() - dead) / seconds / members * 3_600);
-      trial.measure(null);
-      trial.slow(-1, 0);
+          (simulation.wrongDeaths() - wrongDeaths) / seconds / members * SECONDS_PER_HOUR);
+      simulation.measure(null);
+      simulation.slow(NO_MEMBER, 0);
     }
 
-    private void settledAfterDeaths() {
-      double settled = settled(() -> each(0, 3, trial::kill));
-      Histogram h = new Histogram(3);
-      trial.detected().forEach(t -> h.recordValue(t / 1_000));
-      say("a third killed: held dead, median, s", h.getValueAtPercentile(50) / 1e3);
-      say("a third killed: held dead, 99th, s", h.getValueAtPercentile(99) / 1e3);
-      say("a third killed: all agree, s", settled);
+    /** Kills a third of the members and records the detection and convergence times. */
+    private void measureCrashes() {
+      double convergence = convergenceSeconds(() -> forEachMember(0, KILL_STEP, simulation::kill));
+      Histogram detectionMillis = new Histogram(3);
+      simulation
+          .detected()
+          .forEach(micros -> detectionMillis.recordValue(micros / MICROS_PER_MILLI));
+      addResult(
+          "a third killed: held dead, median, s",
+          detectionMillis.getValueAtPercentile(50) / MILLIS_PER_SECOND);
+      addResult(
+          "a third killed: held dead, 99th, s",
+          detectionMillis.getValueAtPercentile(99) / MILLIS_PER_SECOND);
+      addResult("a third killed: all agree, s", convergence);
     }
 
-    private void say(String what, double value) {
-      figures.add(new String[] {what, String.format("%.3f", value)});
+    /** Adds one result to print, under its name. */
+    private void addResult(String name, double value) {
+      results.add(new String[] {name, String.format("%.3f", value)});
     }
 
     private void print() throws IOException {
       PrintWriter out = spec.commandLine().getOut();
       out.printf("%d members, loss %.2f, seed %d%n", members, loss, seed);
-      figures.forEach(f -> out.printf("%-42s %12s%n", f[0], f[1]));
+      results.forEach(result -> out.printf("%-42s %12s%n", result[0], result[1]));
       out.flush();
       if (csv != null) {
         StringBuilder text = new StringBuilder("members,loss,seed,figure,value\n");
-        figures.forEach(
-            f ->
+        results.forEach(
+            result ->
                 text.append(members)
                     .append(',')
                     .append(loss)
                     .append(',')
                     .append(seed)
                     .append(",\"")
-                    .append(f[0])
+                    .append(result[0])
                     .append("\",")
-                    .append(f[1])
+                    .append(result[1])
                     .append('\n'));
         Files.writeString(csv, text);
       }
@@ -329,7 +377,7 @@
                 .xAxisTitle("virtual time, s")
                 .yAxisTitle("members held living, mean over the living")
                 .build();
-        chart.addSeries("held living", times, seen).setMarker(SeriesMarkers.NONE);
+        chart.addSeries("held living", sampleTimes, meanLivingCounts).setMarker(SeriesMarkers.NONE);
         BitmapEncoder.saveBitmap(chart, plot.toString(), BitmapEncoder.BitmapFormat.PNG);
       }
     }
--- a/src/main/java/umberrun/cli/WorksCommand.java
+++ b/src/main/java/umberrun/cli/WorksCommand.java
@@ -18,11 +18,15 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Machines taken out for work: what is planned, how far it is, and for whom it waits. */
+/**
+ * The {@code works} commands, which plan the maintenance of worker machines, show its progress and
+ * control it.
+ */
 @Command(
     name = "works",
     mixinStandardHelpOptions = true,
-    description = "Machines taken out for work, in an order the front ends settle.",
+    description =
+        "Takes machines out of service for maintenance, in an order that the front ends agree on.",
     subcommands = {
       WorksCommand.PlanCommand.class,
       WorksCommand.Show.class,
@@ -38,7 +42,10 @@
       WorksCommand.Strike.class
     })
 final class WorksCommand implements Runnable {
-  private static final long WATCH_MILLIS = 1_000;
+  private static final long WATCH_INTERVAL_MILLIS = 1_000;
+
+  /** How many of the latest trail entries are printed. */
+  private static final int PRINTED_TRAIL_ENTRIES = 8;
 
   @Spec private CommandSpec spec;
 
@@ -47,73 +54,81 @@
     spec.commandLine().usage(spec.commandLine().getOut());
   }
 
-  /** What they have in common: any front end is asked, and its no is one line and status 1. */
+  /**
+   * A command that sends one request to a front end; any of them will do. If the request fails, it
+   * prints one line and ends with status 1.
+   */
   abstract static class WorksRequest implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Mixin private FleetCommand.Member member;
 
-    @Option(names = "--json", description = "as JSON")
+    @Option(names = "--json", description = "print the answer as JSON")
     private boolean json;
 
     @Option(
         names = "--by",
         paramLabel = "WHO",
-        description = "who orders it, for the trail",
+        description = "who gives the order, as recorded in the trail",
         defaultValue = "${env:USER:-somebody}")
     private String by;
 
-    abstract JsonObject order() throws IOException;
+    /** The request to send, without the name of who gives the order. */
+    abstract JsonObject request() throws IOException;
 
-    void print(PrintWriter out, JsonObject told) {
-      WorksCommand.print(out, told);
+    /** Prints an answer for people to read. */
+    void print(PrintWriter out, JsonObject answer) {
+      WorksCommand.print(out, answer);
     }
 
-    boolean goesOn(JsonObject told) {
+    /** Whether to repeat the request, after an interval, once this answer has been printed. */
+    boolean isRepeated(JsonObject answer) {
       return false;
     }
 
-    static JsonObject order(String verb, String id) {
-      JsonObject o = new JsonObject();
-      o.addProperty("do", verb);
-      o.addProperty("id", id);
-      return o;
+    static JsonObject request(String verb, String id) {
+      JsonObject request = new JsonObject();
+      request.addProperty("do", verb);
+      request.addProperty("id", id);
+      return request;
     }
 
     @Override
     public Integer call() throws InterruptedException {
       PrintWriter out = spec.commandLine().getOut();
       try {
-        JsonObject o = order();
-        o.addProperty("by", by);
-        String words =
-            Base64.getUrlEncoder().encodeToString(o.toString().getBytes(StandardCharsets.UTF_8));
-        JsonObject told = member.call("works " + words);
+        JsonObject request = request();
+        request.addProperty("by", by);
+        // In Base64, as the arguments of a call may not contain spaces.
+        String encoded =
+            Base64.getUrlEncoder()
+                .encodeToString(request.toString().getBytes(StandardCharsets.UTF_8));
+        JsonObject answer = member.call("works " + encoded);
         while (true) {
           if (json) {
-            out.println(told);
+            out.println(answer);
           } else {
-            print(out, told);
+            print(out, answer);
           }
           out.flush();
-          if (!goesOn(told)) {
+          if (!isRepeated(answer)) {
             return 0;
           }
-          Thread.sleep(WATCH_MILLIS);
-          told = member.call("works " + words);
+          Thread.sleep(WATCH_INTERVAL_MILLIS);
+          answer = member.call("works " + encoded);
         }
       } catch (IOException e) {
-        return member.silent(spec, e);
+        return member.reportFailure(spec, e);
       }
     }
   }
 
-  /** One that names a plan, a machine or a front end. */
+  /** A request whose only argument is the name of a plan, a machine or a front end. */
   abstract static class NamedRequest extends WorksRequest {
     @Parameters(
         index = "1",
         paramLabel = "NAME",
-        description = "of a plan, a machine or a front end, as the command is about")
+        description = "name of the plan, machine or front end that the command applies to")
     private String name;
 
     private final String verb;
@@ -123,162 +138,179 @@
     }
 
     @Override
-    JsonObject order() {
-      return order(verb, name);
+    JsonObject request() {
+      return request(verb, name);
     }
   }
 
+  /** Creates a plan, or shows what it would do. */
   @Command(
       name = "plan",
       mixinStandardHelpOptions = true,
-      description = "Has machines taken out: by name, or all that match.")
+      description = "Plans to take machines out of service: by name, or all that match.")
   static final class PlanCommand extends WorksRequest {
     @Option(names = "--id", required = true, description = "name of the plan")
     private String id;
 
-    @Option(names = "--why", required = true, description = "what for")
+    @Option(names = "--why", required = true, description = "reason for the work")
     private String why;
 
-    @Option(names = "--machine", description = "a machine; may come more than once")
+    @Option(names = "--machine", description = "name of a machine; may be given more than once")
     private List<String> machines = new ArrayList<>();
 
-    @Option(names = "--hall", description = "all of a hall")
+    @Option(names = "--hall", description = "all machines of this hall")
     private String hall;
 
-    @Option(names = "--kind", description = "all of a kind")
+    @Option(names = "--kind", description = "all machines of this kind")
     private String kind;
 
     @Option(
         names = "--started-before",
         paramLabel = "MS",
-        description = "all that started before a Unix time in milliseconds")
+        description = "all machines that started before this Unix time in milliseconds")
     private Long startedBefore;
 
-    @Option(names = "--all", description = "all on the list")
+    @Option(names = "--all", description = "all machines on the list of workers")
     private boolean all;
 
     @Option(
         names = "--at-once",
-        description = "may be missing at a time, over all plans",
+        description = "how many machines may be out at the same time, over all plans",
         defaultValue = "1")
     private int atOnce;
 
-    @Option(names = "--halls-at-once", description = "more than one hall may be touched at a time")
+    @Option(
+        names = "--halls-at-once",
+        description = "allow machines of more than one hall to be out at the same time")
     private boolean hallsAtOnce;
 
-    @Option(names = "--floor", description = "ready machines that must stay", defaultValue = "1")
+    @Option(
+        names = "--floor",
+        description = "how many machines must stay ready",
+        defaultValue = "1")
     private int floor;
 
-    @Option(names = "--hall-floor", description = "the same in each hall", defaultValue = "0")
+    @Option(
+        names = "--hall-floor",
+        description = "how many machines must stay ready in each hall",
+        defaultValue = "0")
     private int hallFloor;
 
     @Option(
         names = "--limit",
         paramLabel = "S",
-        description = "for each stage of a machine",
+        description = "time limit of each stage of a machine, in seconds",
         defaultValue = "900")
     private long limit;
 
     @Option(
         names = "--late",
-        description = "what follows where it takes longer: wait, skip or hold",
+        description = "what to do when a stage exceeds the limit: wait, skip or hold",
         defaultValue = "wait")
     private String late;
 
     @Option(
         names = "--by-hand",
-        description = "goes on only by an operator's word once something has stopped it")
+        description =
+            "once something has stopped the plan, continue it only when an operator resumes it")
     private boolean byHand;
 
-    @Option(names = "--urgent", description = "before other plans")
+    @Option(
+        names = "--urgent",
+        description = "take the machines of this plan before those of other plans")
     private boolean urgent;
 
-    @Option(names = "--dry-run", description = "shows order and floor, and changes nothing")
+    @Option(
+        names = "--dry-run",
+        description = "show the order and the machines that stay ready, without changing anything")
     private boolean dryRun;
 
     @Override
-    JsonObject order() throws IOException {
+    JsonObject request() throws IOException {
       if (!List.of("wait", "skip", "hold").contains(late)) {
         throw new IOException("--late is wait, skip or hold");
       }
-      JsonObject o = order("plan", id);
-      o.addProperty("why", why);
+      JsonObject request = request("plan", id);
+      request.addProperty("why", why);
       if (!machines.isEmpty()) {
         JsonArray names = new JsonArray();
         machines.forEach(names::add);
-        o.add("machines", names);
+        request.add("machines", names);
       }
       if (hall != null) {
-        o.addProperty("hall", hall);
+        request.addProperty("hall", hall);
       }
       if (kind != null) {
-        o.addProperty("kind", kind);
+        request.addProperty("kind", kind);
       }
       if (startedBefore != null) {
-        o.addProperty("started_before_ms", startedBefore);
+        request.addProperty("started_before_ms", startedBefore);
       }
       if (all) {
-        o.addProperty("all", true);
+        request.addProperty("all", true);
       }
-      o.addProperty("at_once", atOnce);
-      o.addProperty("halls_at_once", hallsAtOnce);
-      o.addProperty("floor", floor);
-      o.addProperty("hall_floor", hallFloor);
-      o.addProperty("limit_s", limit);
-      o.addProperty("late", late);
-      o.addProperty("by_hand", byHand);
-      o.addProperty("urgent", urgent);
-      o.addProperty("dry_run", dryRun);
-      return o;
+      request.addProperty("at_once", atOnce);
+      request.addProperty("halls_at_once", hallsAtOnce);
+      request.addProperty("floor", floor);
+      request.addProperty("hall_floor", hallFloor);
+      request.addProperty("limit_s", limit);
+      request.addProperty("late", late);
+      request.addProperty("by_hand", byHand);
+      request.addProperty("urgent", urgent);
+      request.addProperty("dry_run", dryRun);
+      return request;
     }
 
     @Override
-    void print(PrintWriter out, JsonObject told) {
-      if (!told.has("order")) {
-        super.print(out, told);
+    void print(PrintWriter out, JsonObject answer) {
+      if (!answer.has("order")) {
+        super.print(out, answer);
         return;
       }
       out.printf(
           "%d ready now, %d at the least meanwhile, %d rounds%n",
-          told.get("ready").getAsInt(),
-          told.get("least_ready").getAsInt(),
-          told.get("rounds").getAsInt());
-      for (JsonElement e : told.getAsJsonArray("order")) {
-        JsonObject p = e.getAsJsonObject();
+          answer.get("ready").getAsInt(),
+          answer.get("least_ready").getAsInt(),
+          answer.get("rounds").getAsInt());
+      for (JsonElement element : answer.getAsJsonArray("order")) {
+        JsonObject place = element.getAsJsonObject();
         out.printf(
             "%-20s %s %s%n",
-            p.get("machine").getAsString(),
-            p.get("may").getAsBoolean() ? "goes" : "waits",
-            joined(p.get("reasons")));
+            place.get("machine").getAsString(),
+            place.get("may").getAsBoolean() ? "goes" : "waits",
+            joined(place.get("reasons")));
       }
     }
   }
 
+  /** Prints the plans, the state of their machines and the end of the trail. */
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
-      description = "Plans, machines, and for whom they wait; the trail at the end.")
+      description =
+          "Shows the plans, their machines, the front ends that these wait for, and the latest entries of the trail.")
   static final class Show extends WorksRequest {
     @Override
-    JsonObject order() {
-      return order("show", "");
+    JsonObject request() {
+      return request("show", "");
     }
   }
 
+  /** Repeats what {@code show} prints until no plan is open. */
   @Command(
       name = "watch",
       mixinStandardHelpOptions = true,
-      description = "The same each second until all plans are over.")
+      description = "Shows the same every second until all plans are over.")
   static final class Watch extends WorksRequest {
     @Override
-    JsonObject order() {
-      return order("show", "");
+    JsonObject request() {
+      return request("show", "");
     }
 
     @Override
-    boolean goesOn(JsonObject told) {
-      for (JsonElement p : told.getAsJsonObject("ledger").getAsJsonArray("plans")) {
-        String state = p.getAsJsonObject().get("state").getAsString();
+    boolean isRepeated(JsonObject answer) {
+      for (JsonElement plan : answer.getAsJsonObject("ledger").getAsJsonArray("plans")) {
+        String state = plan.getAsJsonObject().get("state").getAsString();
         if (!state.equals("ENDED") && !state.equals("CANCELLED")) {
           return true;
         }
@@ -287,171 +319,189 @@
     }
   }
 
+  /** Prints the stage of a machine, and what it waits for. */
   @Command(
       name = "why",
       mixinStandardHelpOptions = true,
-      description = "Why a machine waits, or is where it is.")
+      description = "Shows why a machine waits or is in its current stage.")
   static final class Why extends NamedRequest {
     Why() {
       super("why");
     }
 
     @Override
-    void print(PrintWriter out, JsonObject told) {
-      JsonObject m = told.getAsJsonObject("machine");
+    void print(PrintWriter out, JsonObject answer) {
+      JsonObject machine = answer.getAsJsonObject("machine");
       out.printf(
           "%s of plan %s is %s%s%n",
-          text(m, "name"),
-          text(m, "plan"),
-          text(m, "stage").toLowerCase(Locale.ROOT),
-          text(m, "note").isEmpty() ? "" : ": " + text(m, "note"));
-      if (told.has("place")) {
-        out.printf("place %d: %s%n", told.get("place").getAsInt(), joined(told.get("reasons")));
+          text(machine, "name"),
+          text(machine, "plan"),
+          text(machine, "stage").toLowerCase(Locale.ROOT),
+          text(machine, "note").isEmpty() ? "" : ": " + text(machine, "note"));
+      if (answer.has("place")) {
+        out.printf("place %d: %s%n", answer.get("place").getAsInt(), joined(answer.get("reasons")));
       }
     }
   }
 
+  /** Pauses a plan. */
   @Command(
       name = "pause",
       mixinStandardHelpOptions = true,
-      description = "Nobody new of a plan goes.")
+      description = "Pauses a plan: no further machine of it is taken out.")
   static final class Pause extends NamedRequest {
     Pause() {
       super("pause");
     }
   }
 
+  /** Resumes a plan that was paused or held. */
   @Command(
       name = "resume",
       mixinStandardHelpOptions = true,
-      description = "A plan that was paused or stopped goes on.")
+      description = "Resumes a plan that was paused or held.")
   static final class Resume extends NamedRequest {
     Resume() {
       super("resume");
     }
   }
 
+  /** Cancels a plan. */
   @Command(
       name = "cancel",
       mixinStandardHelpOptions = true,
-      description = "Ends a plan; what is free for work stays out until 'done'.")
+      description = "Cancels a plan; machines that are free for work stay out until 'done'.")
   static final class Cancel extends NamedRequest {
     Cancel() {
       super("cancel");
     }
   }
 
+  /** Gives a plan precedence over the others. */
   @Command(
       name = "urgent",
       mixinStandardHelpOptions = true,
-      description = "A plan's machines go before those of others.")
+      description = "Takes the machines of a plan out before those of other plans.")
   static final class Urgent extends NamedRequest {
     Urgent() {
       super("urgent");
     }
   }
 
-  @Command(name = "skip", mixinStandardHelpOptions = true, description = "A machine is left out.")
+  /** Leaves a machine out of its plan. */
+  @Command(
+      name = "skip",
+      mixinStandardHelpOptions = true,
+      description = "Leaves a machine out of its plan.")
   static final class Skip extends NamedRequest {
     Skip() {
       super("skip");
     }
   }
 
+  /** Returns a machine to service. */
   @Command(
       name = "done",
       mixinStandardHelpOptions = true,
-      description = "The work on a machine has ended: it may serve.")
+      description = "Declares the work on a machine finished: it may serve again.")
   static final class Done extends NamedRequest {
     Done() {
       super("done");
     }
   }
 
+  /** Lets a machine proceed without the consent of a front end that does not answer. */
   @Command(
       name = "force",
       mixinStandardHelpOptions = true,
-      description = "One front end's silence counts as a yes for a machine.")
+      description =
+          "Lets a machine proceed without the consent of one front end that does not answer.")
   static final class Force extends NamedRequest {
     @Parameters(
         index = "2",
         paramLabel = "FRONT-END",
-        description = "whose silence: make sure that it sends nothing there")
-    private String silent;
+        description =
+            "the front end that does not answer; make sure that it sends no work to the machine")
+    private String frontEnd;
 
     Force() {
       super("force");
     }
 
     @Override
-    JsonObject order() {
-      JsonObject o = super.order();
-      o.addProperty("member", silent);
-      return o;
+    JsonObject request() {
+      JsonObject request = super.request();
+      request.addProperty("member", frontEnd);
+      return request;
     }
   }
 
+  /** Removes a front end from the roll. */
   @Command(
       name = "strike",
       mixinStandardHelpOptions = true,
-      description = "Takes a front end off the roll that will not come back.")
+      description = "Removes a front end that will not come back from the roll.")
   static final class Strike extends NamedRequest {
     Strike() {
       super("strike");
     }
   }
 
-  private static String text(JsonObject o, String key) {
-    return o.has(key) && !o.get(key).isJsonNull() ? o.get(key).getAsString() : "";
+  /** The value of a field as text, empty where it is null or the object lacks it. */
+  private static String text(JsonObject object, String key) {
+    return object.has(key) && !object.get(key).isJsonNull() ? object.get(key).getAsString() : "";
   }
 
   private static String joined(JsonElement list) {
     List<String> all = new ArrayList<>();
-    list.getAsJsonArray().forEach(e -> all.add(e.getAsString()));
+    list.getAsJsonArray().forEach(element -> all.add(element.getAsString()));
     return String.join("; ", all);
   }
 
-  private static void print(PrintWriter out, JsonObject told) {
-    JsonObject l = told.getAsJsonObject("ledger");
+  private static void print(PrintWriter out, JsonObject answer) {
+    JsonObject ledger = answer.getAsJsonObject("ledger");
     out.printf(
         "version %d as %s knows it%s, %d front ends on the roll%s%n",
-        told.get("version").getAsLong(),
-        text(told, "member"),
-        told.get("drives").getAsBoolean() ? ", which drives" : "",
-        l.getAsJsonArray("roll").size(),
-        told.get("on_roll").getAsBoolean() ? "" : ", NOT this one");
-    for (JsonElement e : l.getAsJsonArray("plans")) {
-      JsonObject p = e.getAsJsonObject();
+        answer.get("version").getAsLong(),
+        text(answer, "member"),
+        answer.get("drives").getAsBoolean() ? ", which drives" : "",
+        ledger.getAsJsonArray("roll").size(),
+        answer.get("on_roll").getAsBoolean() ? "" : ", NOT this one");
+    for (JsonElement element : ledger.getAsJsonArray("plans")) {
+      JsonObject plan = element.getAsJsonObject();
       out.printf(
           "plan %s %s%s: %s, by %s%n",
-          text(p, "id"),
-          text(p, "state").toLowerCase(Locale.ROOT),
-          text(p, "reason").isEmpty() ? "" : " (" + text(p, "reason") + ")",
-          text(p, "why"),
-          text(p, "by"));
-      for (JsonElement f : l.getAsJsonArray("machines")) {
-        JsonObject m = f.getAsJsonObject();
-        if (text(m, "plan").equals(text(p, "id"))) {
-          String name = text(m, "name");
-          JsonElement waits =
-              told.has("waits_for") ? told.getAsJsonObject("waits_for").get(name) : null;
+          text(plan, "id"),
+          text(plan, "state").toLowerCase(Locale.ROOT),
+          text(plan, "reason").isEmpty() ? "" : " (" + text(plan, "reason") + ")",
+          text(plan, "why"),
+          text(plan, "by"));
+      for (JsonElement machineElement : ledger.getAsJsonArray("machines")) {
+        JsonObject machine = machineElement.getAsJsonObject();
+        if (text(machine, "plan").equals(text(plan, "id"))) {
+          String name = text(machine, "name");
+          JsonElement waitsFor =
+              answer.has("waits_for") ? answer.getAsJsonObject("waits_for").get(name) : null;
           out.printf(
               "  %-20s %-8s%s%s%s%s%n",
               name,
-              text(m, "stage").toLowerCase(Locale.ROOT),
-              m.get("overdue").getAsBoolean() ? " OVERDUE" : "",
-              m.getAsJsonArray("forced").isEmpty() ? "" : " forced for " + joined(m.get("forced")),
-              waits == null || waits.getAsJsonArray().isEmpty()
+              text(machine, "stage").toLowerCase(Locale.ROOT),
+              machine.get("overdue").getAsBoolean() ? " OVERDUE" : "",
+              machine.getAsJsonArray("forced").isEmpty()
                   ? ""
-                  : " waits for " + joined(waits),
-              text(m, "note").isEmpty() ? "" : "  " + text(m, "note"));
+                  : " forced for " + joined(machine.get("forced")),
+              waitsFor == null || waitsFor.getAsJsonArray().isEmpty()
+                  ? ""
+                  : " waits for " + joined(waitsFor),
+              text(machine, "note").isEmpty() ? "" : "  " + text(machine, "note"));
         }
       }
     }
-    JsonArray trail = l.getAsJsonArray("trail");
-    for (int i = Math.max(0, trail.size() - 8); i < trail.size(); i++) {
-      JsonObject t = trail.get(i).getAsJsonObject();
-      out.printf("%6d %-10s %s%n", t.get("step").getAsLong(), text(t, "who"), text(t, "what"));
+    JsonArray trail = ledger.getAsJsonArray("trail");
+    for (int i = Math.max(0, trail.size() - PRINTED_TRAIL_ENTRIES); i < trail.size(); i++) {
+      JsonObject entry = trail.get(i).getAsJsonObject();
+      out.printf(
+          "%6d %-10s %s%n", entry.get("step").getAsLong(), text(entry, "who"), text(entry, "what"));
     }
   }
 }
