--- a/examples/ToyWorker.java
+++ b/examples/ToyWorker.java
@@ -7,11 +7,11 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A worker to try umberrun with: answers each RUN with its own body, as from a loaded copy. */
+/** A worker for trying out umberrun: answers each RUN with the body of the call, as a loaded copy would. */
 public final class ToyWorker {
   private ToyWorker() { }
 
-  /** Listens on a loopback port, 7000 unless another is given. */
+  /** Listens on a loopback port: the first argument, or 7000 by default. */
   public static void main(String[] args) throws IOException {
     int port = args.length > 0 ? Integer.parseInt(args[0]) : 7000;
     try (ServerSocket listener = new ServerSocket(port, 50, InetAddress.getLoopbackAddress())) {
@@ -36,11 +36,12 @@
           case "HOLD" -> answer(client.getOutputStream(), words[1], "200", "pods=1", new byte[0]);
           case "NOOP", "INFO" -> answer(client.getOutputStream(), words[1], "alive", "l=util:0.1;x1:0;x0:0",
               new byte[0]);
-          default -> { } // STOP and FREE get no answer
+          // STOP and FREE get no answer.
+          default -> { }
         }
       }
     } catch (IOException e) {
-      System.out.println("a connection ended: " + e.getMessage());
+      System.out.println("connection ended: " + e.getMessage());
     }
   }
 
@@ -56,15 +57,15 @@
   }
 
   private static String line(DataInputStream in) throws IOException {
-    StringBuilder b = new StringBuilder();
+    StringBuilder line = new StringBuilder();
     for (int c; (c = in.read()) != '\r';) {
       if (c < 0) {
-        throw new IOException("closed by the other side");
+        throw new IOException("connection closed by the peer");
       }
-      b.append((char) c);
+      line.append((char) c);
     }
     in.read();
-    return b.toString();
+    return line.toString();
   }
 
   private static String text(byte[] word) {
