--- a/src/test/java/umberrun/EmulatedWorker.java
+++ b/src/test/java/umberrun/EmulatedWorker.java
@@ -13,17 +13,22 @@
 import umberrun.Scenario.Command;
 
 /**
- * Has a stand-in worker serve as the settings say: lanes, a queue, copies of functions that take
- * time to load and push each other out, and a start with none. Figures are of no machine in
- * particular.
+ * Makes a stand-in worker behave like a real one: calls run on lanes and wait in a bounded queue, a
+ * function needs a loaded copy, loading takes time, and the least recently used copy is evicted
+ * when there are too many. It starts without copies. The sizes and times are not those of a
+ * particular machine.
  */
 final class EmulatedWorker {
   static final long LOAD_MILLIS = 250;
-  private static final double RUN_MILLIS = 16;
+
+  /** The mean of the exponentially distributed run times. */
+  private static final double MEAN_RUN_MILLIS = 16;
+
   private static final int LANES = 2;
-  private static final int QUEUE = 24;
-  private static final int COPIES = 10;
-  private static final ScheduledExecutorService LATER =
+  private static final int MAX_QUEUED = 24;
+  private static final int MAX_COPIES = 10;
+  private static final int MICROS_PER_MILLI = 1_000;
+  private static final ScheduledExecutorService SCHEDULER =
       Executors.newScheduledThreadPool(
           2,
           r -> {
@@ -32,140 +37,160 @@
             return t;
           });
 
-  /** A call that came, and how its copy stood. */
+  /** The note of a command that only asks to load a copy. */
+  private static final String PRELOAD_NOTE = "h";
+
+  /**
+   * A command that waits for a copy or a lane.
+   *
+   * @param note the state of the copy when the command arrived: {@code w} loaded, {@code c} this
+   *     command began the load, {@code j} it joined a load; {@code h} for a command that only asks
+   *     to load a copy
+   */
   private record Waiting(Command command, String note) {}
 
   private final Random random;
 
-  /** Functions that stand loaded, the one used last at the end. */
+  /** Functions with a loaded copy, the most recently used last. */
   private final Map<String, Boolean> copies = new LinkedHashMap<>(16, 0.75f, true);
 
   private final Map<String, Deque<Waiting>> loading = new LinkedHashMap<>();
   private final Deque<Waiting> queue = new ArrayDeque<>();
   private int running;
-  private double failing;
+  private double failureShare;
   private int loads;
-  private int runs;
+  private int commands;
 
   EmulatedWorker(Scenario.Worker worker, long seed) {
     random = new Random(seed);
-    worker.serves = this::take;
+    worker.serves = this::receive;
   }
 
-  /** Loses what it had loaded, as a machine that was worked on. */
+  /** Discards all loaded copies, as a machine does that restarts after maintenance. */
   synchronized void restart() {
     copies.clear();
   }
 
-  /** Fails so many calls from now on. */
+  /** Makes this share of the calls fail from now on. */
   synchronized void fail(double share) {
-    failing = share;
+    failureShare = share;
   }
 
+  /** The number of loads so far. */
   synchronized int loads() {
     return loads;
   }
 
-  /** Calls and orders that came. */
+  /** The number of calls and preload commands received so far. */
   synchronized int runs() {
-    return runs;
+    return commands;
   }
 
-  private synchronized void take(Command c) {
-    switch (c.words().get(0)) {
+  private synchronized void receive(Command command) {
+    switch (command.words().get(0)) {
       case "RUN" -> {
-        runs++;
-        String function = field(c, "asset");
+        commands++;
+        String function = field(command, "asset");
         if (copies.containsKey(function)) {
+          // Marks the copy as the most recently used.
           copies.get(function);
-          enter(new Waiting(c, "w"));
+          enqueue(new Waiting(command, "w"));
         } else {
           boolean first = !loading.containsKey(function);
-          load(function).add(new Waiting(c, first ? "c" : "j"));
+          load(function).add(new Waiting(command, first ? "c" : "j"));
         }
       }
       case "HOLD" -> {
-        runs++;
-        String function = field(c, "asset");
+        commands++;
+        String function = field(command, "asset");
         if (copies.containsKey(function)) {
-          say(c, "200", "pods=1", "");
+          answer(command, "200", "pods=1", "");
         } else {
-          load(function).add(new Waiting(c, "h"));
+          load(function).add(new Waiting(command, PRELOAD_NOTE));
         }
       }
-      case "INFO" -> say(c, "alive", "l=util:" + (double) running / LANES, "");
-      case "NOOP" -> say(c, "alive", "-", "");
+      case "INFO" -> answer(command, "alive", "l=util:" + (double) running / LANES, "");
+      case "NOOP" -> answer(command, "alive", "-", "");
       default -> {}
     }
   }
 
-  private static String field(Command c, String name) {
-    return List.of(c.words().get(2).split(",")).stream()
+  /** The value of a field of a command, empty where it is absent. */
+  private static String field(Command command, String name) {
+    return List.of(command.words().get(2).split(",")).stream()
         .filter(f -> f.startsWith(name + "="))
         .findFirst()
         .orElse("=")
         .split("=", 2)[1];
   }
 
+  /** Starts to load a function, unless a load is under way, and returns the commands that wait. */
   private Deque<Waiting> load(String function) {
     return loading.computeIfAbsent(
         function,
         f -> {
           loads++;
-          LATER.schedule(() -> loaded(f), LOAD_MILLIS, TimeUnit.MILLISECONDS);
+          SCHEDULER.schedule(() -> loaded(f), LOAD_MILLIS, TimeUnit.MILLISECONDS);
           return new ArrayDeque<>();
         });
   }
 
   private synchronized void loaded(String function) {
     copies.put(function, true);
-    if (copies.size() > COPIES) {
+    if (copies.size() > MAX_COPIES) {
       copies.remove(copies.keySet().iterator().next());
     }
     loading
         .remove(function)
         .forEach(
-            w -> {
-              if (w.note.equals("h")) {
-                say(w.command, "200", "pods=1", "");
+            waiting -> {
+              if (waiting.note.equals(PRELOAD_NOTE)) {
+                answer(waiting.command, "200", "pods=1", "");
               } else {
-                enter(w);
+                enqueue(waiting);
               }
             });
   }
 
-  private void enter(Waiting w) {
-    if (queue.size() >= QUEUE) {
-      say(w.command, "503", "-", "");
+  /** Queues a call whose copy is loaded, or answers that the queue is full. */
+  private void enqueue(Waiting waiting) {
+    if (queue.size() >= MAX_QUEUED) {
+      answer(waiting.command, "503", "-", "");
       return;
     }
-    queue.add(w);
-    next();
+    queue.add(waiting);
+    runQueued();
   }
 
-  private void next() {
+  /** Starts queued calls while a lane is free. */
+  private void runQueued() {
     while (running < LANES && !queue.isEmpty()) {
-      Waiting w = queue.poll();
+      Waiting waiting = queue.poll();
       running++;
-      LATER.schedule(
-          () -> end(w),
-          (long) (-Math.log(1 - random.nextDouble()) * RUN_MILLIS * 1_000),
+      SCHEDULER.schedule(
+          () -> complete(waiting),
+          (long) (-Math.log(1 - random.nextDouble()) * MEAN_RUN_MILLIS * MICROS_PER_MILLI),
           TimeUnit.MICROSECONDS);
     }
   }
 
-  private synchronized void end(Waiting w) {
+  private synchronized void complete(Waiting waiting) {
     running--;
-    boolean fails = random.nextDouble() < failing;
-    say(w.command, fails ? "500" : "200", "n=" + w.note, fails ? "" : w.command.words().get(3));
-    next();
+    boolean fails = random.nextDouble() < failureShare;
+    answer(
+        waiting.command,
+        fails ? "500" : "200",
+        "n=" + waiting.note,
+        fails ? "" : waiting.command.words().get(3));
+    runQueued();
   }
 
-  private static void say(Command c, String word, String fields, String body) {
+  private static void answer(Command command, String word, String fields, String body) {
     try {
-      Scenario.Worker.answer(c, word, fields, body);
+      Scenario.Worker.answer(command, word, fields, body);
     } catch (IOException e) {
-      return; // whoever asked is gone
+      // The front end that sent the command has closed the connection.
+      return;
     }
   }
 }
--- a/src/test/java/umberrun/FaultSoakIT.java
+++ b/src/test/java/umberrun/FaultSoakIT.java
@@ -16,24 +16,33 @@
 import umberrun.Processes.Reach;
 
 /**
- * Real processes through faults drawn from a seed: outages of discovery, drains, restarts,
- * upgrades, kills, stops, signals in series and crowds, several at a time. Each call that is owed
- * an answer gets one, and no worker gets work past the told time and the grace.
+ * Runs real processes through random faults from a seed, several at a time: outages of discovery,
+ * drains of workers, restarts, upgrades, kills, stopped processes, series of signals and bursts of
+ * connections. Every call that must be answered gets exactly one answer, and no worker gets work
+ * once the time to learn of its drain and the grace period have passed.
  *
- * <p>More seeds by hand: {@code -Dsoak.seeds=1-50}.
+ * <p>{@code -Dsoak.seeds=1-50} runs these seeds instead of the default ones.
  */
 public class FaultSoakIT {
   private static final String SEEDS = System.getProperty("soak.seeds", "1-2");
   private static final int NODES = 3;
   private static final int WORKERS = 8;
-  private static final int MOST_DRAINING = 3;
-  private static final int CROWD = 150;
+  private static final int MAX_DRAINING = 3;
+  private static final int BURST_CONNECTIONS = 150;
   private static final long FAULTS_MILLIS = 22_000;
-  private static final long PATIENCE_SECONDS = 15;
+  private static final long RECOVERY_SECONDS = 15;
+
+  /** How long a fault may go on after the time for faults is over. */
+  private static final long FAULT_END_SECONDS = 60;
+
+  /** How many more calls must be served after the faults. */
+  private static final int CALLS_AFTER_FAULTS = 200;
 
   private Processes fleet;
   private final List<DrainableWorker> workers = new ArrayList<>();
-  private final List<String> done = new ArrayList<>();
+
+  /** The faults so far, for the failure message. */
+  private final List<String> faultLog = new ArrayList<>();
 
   @Test
   public void everySeedKeepsTheRules() throws Exception {
@@ -46,7 +55,7 @@
         System.err.println(
             "soak: seed " + seed + " kept the rules, " + fleet.served + " calls served");
       } catch (Exception | AssertionError e) {
-        throw new AssertionError("seed " + seed + " after " + done + ": " + e.getMessage(), e);
+        throw new AssertionError("seed " + seed + " after " + faultLog + ": " + e.getMessage(), e);
       }
     }
   }
@@ -56,153 +65,161 @@
     fleet.pauseMillis = 20;
     fleet.drawn = true;
     workers.clear();
-    done.clear();
+    faultLog.clear();
     for (int i = 0; i < WORKERS; i++) {
       workers.add(new DrainableWorker(fleet, i, n -> DrainableWorker.TOLD_AND_GRACE_MILLIS));
     }
-    List<ExecutorService> hands =
-        new ArrayList<>(); // one for each front end, and one for the workers
+    // One executor for each front end and one for the workers: faults of one party run one by one.
+    List<ExecutorService> executors = new ArrayList<>();
     for (int i = 0; i <= NODES; i++) {
-      hands.add(Executors.newSingleThreadExecutor());
+      executors.add(Executors.newSingleThreadExecutor());
     }
-    List<Future<?>> under = new ArrayList<>();
+    List<Future<?>> faults = new ArrayList<>();
     try {
       long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FAULTS_MILLIS);
       while (System.nanoTime() < end) {
-        int hand = random.nextInt(NODES + 1);
-        Random own = new Random(random.nextLong());
-        under.add(
-            hands
-                .get(hand)
+        int party = random.nextInt(NODES + 1);
+        Random faultRandom = new Random(random.nextLong());
+        faults.add(
+            executors
+                .get(party)
                 .submit(
                     () -> {
                       if (System.nanoTime() < end) {
-                        disturb(hand, own);
+                        injectFault(party, faultRandom);
                       }
                       return null;
                     }));
         Thread.sleep(200 + random.nextInt(800));
       }
-      for (Future<?> f : under) {
-        f.get(60, TimeUnit.SECONDS);
+      for (Future<?> fault : faults) {
+        fault.get(FAULT_END_SECONDS, TimeUnit.SECONDS);
       }
-      heal();
+      awaitRecovery();
     } finally {
-      hands.forEach(ExecutorService::shutdownNow);
+      executors.forEach(ExecutorService::shutdownNow);
       fleet.close();
     }
-    StringBuilder late = new StringBuilder();
+    StringBuilder lateWork = new StringBuilder();
     workers.forEach(
         w ->
-            late.append(
+            lateWork.append(
                 w.late.isEmpty()
                     ? ""
                     : "w" + w.number + " got " + w.late.size() + " late: " + w.late + "; "));
-    assertEquals("", late.toString());
-    assertEquals("calls without their one answer", List.of(), List.copyOf(fleet.faults));
+    assertEquals("", lateWork.toString());
+    assertEquals("calls without exactly one answer", List.of(), List.copyOf(fleet.faults));
   }
 
-  private synchronized void say(String what) {
-    done.add(what);
+  private synchronized void logFault(String fault) {
+    faultLog.add(fault);
   }
 
-  private void disturb(int hand, Random random) throws Exception {
-    if (hand == NODES) {
-      disturbWorkers(random);
+  /** Injects one random fault at a front end, or at a worker if the party is {@code NODES}. */
+  private void injectFault(int party, Random random) throws Exception {
+    if (party == NODES) {
+      drainOrReactivate(random);
       return;
     }
-    Node node = fleet.nodes.get(hand);
+    Node node = fleet.nodes.get(party);
     switch (random.nextInt(10)) {
       case 0, 1, 2, 3 -> outage(node, random);
       case 4 -> {
-        say("n" + hand + " upgraded");
+        logFault("n" + party + " upgraded");
         node.keepsConfiguration = random.nextBoolean();
         node.upgrade();
       }
       case 5 -> {
-        say("n" + hand + " restarted");
+        logFault("n" + party + " restarted");
         node.keepsConfiguration = false;
         node.restart();
       }
       case 6 -> {
-        say("n" + hand + " killed");
+        logFault("n" + party + " killed");
         node.keepsConfiguration = false;
         node.kill();
         node.start();
         Processes.awaitReady(node.door);
       }
       case 7 -> {
-        say("n" + hand + " stopped");
+        logFault("n" + party + " stopped");
         node.signal("STOP");
         Thread.sleep(200 + random.nextInt(1_500));
         node.signal("CONT");
       }
       case 8 -> {
-        say("n" + hand + " moved");
+        logFault("n" + party + " moved");
         for (int i = 1 + random.nextInt(3); i > 0; i--) {
           fleet.moveDiscovery(node);
         }
         Thread.sleep(random.nextInt(6_000));
         node.discovery.set(Reach.WELL);
       }
-      default -> crowd(node, random);
+      default -> openIdleConnections(node, random);
     }
   }
 
+  /** Makes discovery fail for a while, as seen by one front end. */
   private void outage(Node node, Random random) throws Exception {
-    Reach how = List.of(Reach.REFUSES, Reach.HANGS, Reach.FAILS).get(random.nextInt(3));
+    Reach failure = List.of(Reach.REFUSES, Reach.HANGS, Reach.FAILS).get(random.nextInt(3));
     long millis = 500 + random.nextInt(13_000);
-    say("n" + node.number + " " + how + " for " + millis);
-    node.discovery.set(how);
+    logFault("n" + node.number + " " + failure + " for " + millis);
+    node.discovery.set(failure);
     Thread.sleep(millis);
     node.discovery.set(Reach.WELL);
   }
 
-  private void disturbWorkers(Random random) throws Exception {
-    DrainableWorker w = workers.get(random.nextInt(WORKERS));
-    if (w.isDraining()) {
-      say("w" + w.number + " back");
-      w.comeBack();
-    } else if (workers.stream().filter(DrainableWorker::isDraining).count() < MOST_DRAINING) {
-      say("w" + w.number + " drains");
-      w.drain();
+  /** Drains a random worker, or makes it serve again if it is draining. */
+  private void drainOrReactivate(Random random) throws Exception {
+    DrainableWorker worker = workers.get(random.nextInt(WORKERS));
+    if (worker.isDraining()) {
+      logFault("w" + worker.number + " back");
+      worker.comeBack();
+    } else if (workers.stream().filter(DrainableWorker::isDraining).count() < MAX_DRAINING) {
+      logFault("w" + worker.number + " drains");
+      worker.drain();
     }
   }
 
-  /** Many connections at once that say nothing. */
-  private void crowd(Node node, Random random) throws Exception {
-    say("n" + node.number + " crowded");
-    List<Socket> all = new ArrayList<>();
+  /** Opens many connections at once and sends nothing on them. */
+  private void openIdleConnections(Node node, Random random) throws Exception {
+    logFault("n" + node.number + " gets idle connections");
+    List<Socket> connections = new ArrayList<>();
     try {
-      for (int i = 0; i < CROWD; i++) {
-        all.add(new Socket(InetAddress.getLoopbackAddress(), node.rpc));
+      for (int i = 0; i < BURST_CONNECTIONS; i++) {
+        connections.add(new Socket(InetAddress.getLoopbackAddress(), node.rpc));
       }
       Thread.sleep(random.nextInt(2_000));
     } catch (java.net.ConnectException e) {
-      // it is just being started
+      // The front end is being started.
     } finally {
-      for (Socket s : all) {
-        s.close();
+      for (Socket connection : connections) {
+        connection.close();
       }
     }
   }
 
-  /** All is well again: every worker that does not drain gets work soon, by whichever front end. */
-  private void heal() throws Exception {
+  /**
+   * Ends all outages, and requires that calls are served again and that most workers get work from
+   * any front end, or are draining.
+   */
+  private void awaitRecovery() throws Exception {
     for (Node n : fleet.nodes) {
       n.discovery.set(Reach.WELL);
     }
-    int before = fleet.served.get();
+    int servedBefore = fleet.served.get();
     Processes.await(
-        "hardly anything is served after the faults",
-        PATIENCE_SECONDS,
-        () -> fleet.served.get() > before + 200);
-    int[] had = workers.stream().mapToInt(w -> w.work.get()).toArray();
+        "too few calls are served after the faults",
+        RECOVERY_SECONDS,
+        () -> fleet.served.get() > servedBefore + CALLS_AFTER_FAULTS);
+    int[] workBefore = workers.stream().mapToInt(w -> w.work.get()).toArray();
     Processes.await(
-        "most workers get nothing after the faults",
-        PATIENCE_SECONDS,
+        "too few workers get work after the faults",
+        RECOVERY_SECONDS,
         () ->
-            workers.stream().filter(w -> w.isDraining() || w.work.get() > had[w.number]).count()
+            workers.stream()
+                    .filter(w -> w.isDraining() || w.work.get() > workBefore[w.number])
+                    .count()
                 > WORKERS / 2);
   }
 }
--- a/src/test/java/umberrun/Processes.java
+++ b/src/test/java/umberrun/Processes.java
@@ -34,33 +34,55 @@
 import umberrun.fleet.net.FleetCodec.Frame;
 
 /**
- * Several processes of the packaged program, started by the deploy file's command, with stand-in
- * workers behind them, clients that call all the time, and a relay on each way from one to another.
- * Faults are by signals and by the relays.
+ * Several processes of the packaged program, started with the command of the deploy file. Stand-in
+ * workers serve them, clients call them all the time, and a relay stands between each pair of them
+ * in each direction. Tests inject faults by signals and through the relays.
  */
 final class Processes implements AutoCloseable {
   static final String FLEET = "yard";
   private static final String LOOPBACK = "127.0.0.1";
+
+  /** The size of the range of request ids of each client; the ids tell which client has called. */
+  private static final long IDS_PER_CLIENT = 1_000_000;
+
+  /** How much longer than its budget a call may take to be answered. */
+  private static final int ANSWER_SLACK_MILLIS = 2_000;
+
+  private static final long RECONNECT_MILLIS = 50;
+
+  private static final int DEFAULT_COLD_MILLIS = 17_000;
+
   private static final long START_SECONDS = 30;
   private static final int CALL_BUDGET_MILLIS = 3_000;
 
-  /** The longest deadline, counted as 3 s, and 0.7 s. */
-  private static final long LONGEST_END_MILLIS = 3_700;
+  /** How long a poll of the change log is held if there are no new events. */
+  private static final long POLL_MILLIS = 1_000;
+
+  /**
+   * How long a process that was told to end may go on: the longest deadline, counted as 3 s, and
+   * 0.7 s in which it still accepts calls.
+   */
+  private static final long MAX_SHUTDOWN_MILLIS = 3_700;
 
-  private static final long STILL_TAKEN_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
+  /** How long a process that was told to end must still accept calls. */
+  private static final long ACCEPTS_AFTER_SIGNAL_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  /** A request that crosses a close within this is sent once more. */
-  private static final long CROSSING_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  /**
+   * A client sends a request again if the connection fails this soon after it: the request and the
+   * close may have crossed each other.
+   */
+  private static final long REQUEST_CROSSED_CLOSE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Runs beside each other for long are given ports of their own. */
+  /** The first port to use; long test runs at the same time get separate port ranges. */
   private static final int FIRST_PORT = Integer.getInteger("ports.first", 18_000);
 
-  private static final int PORTS = Integer.getInteger("ports.count", 12_000);
+  private static final int PORT_COUNT = Integer.getInteger("ports.count", 12_000);
 
-  /** Begins elsewhere with each run, so that runs beside each other seldom meet. */
-  private static int lastPort = FIRST_PORT + (int) (ProcessHandle.current().pid() * 97 % PORTS);
+  /** Starts at a different port in each run, so that runs at the same time seldom collide. */
+  private static int lastPort =
+      FIRST_PORT + (int) (ProcessHandle.current().pid() * 97 % PORT_COUNT);
 
-  /** One front end: its places, and its process where one runs. */
+  /** One front end: its ports and files, and its process if one is running. */
   final class Node {
     final int number;
     final int rpc = freePort();
@@ -70,24 +92,26 @@
     final Path folder;
     final Path log;
 
-    /** Where this front end reaches the change log. */
+    /** The change log as this front end reaches it. */
     final Discovery discovery;
 
     Process process;
 
-    /** The test stopped or ended it: calls to it may end without an answer. */
+    /**
+     * Whether the test has stopped or ended the process, so that calls may fail without an answer.
+     */
     volatile boolean disturbed;
 
     /**
-     * When it was told to end, 0 while it was not; what comes within 0.7 s of that is owed its
-     * answer all the same.
+     * When the process was told to end, in nanoseconds of {@link System#nanoTime}, 0 while it was
+     * not. A call within 0.7 s after that must still be answered.
      */
-    volatile long toldToEndAt;
+    private volatile long shutdownSignalAt;
 
-    /** Its clients make no calls for now. */
+    /** While set, the clients of this front end make no calls. */
     volatile boolean quiet;
 
-    /** Starts find the configuration as an earlier one left it. */
+    /** Whether a start keeps the configuration file of an earlier start. */
     boolean keepsConfiguration;
 
     Node(int number) throws IOException {
@@ -106,20 +130,22 @@
     }
 
     /**
-     * Replaces the process by another one beside it, as an upgrade does; done once the elder is
-     * gone.
+     * Starts a new process beside the old one and then ends the old one, as an upgrade does.
+     * Returns once the old process has ended.
      */
     void upgrade() throws Exception {
-      Process elder = process;
+      Process oldProcess = process;
       door = freePort();
       start();
       awaitReady(door);
-      disturbed = true; // its clients are let go of
-      elder.destroy();
-      assertTrue("the elder is still there", elder.waitFor(START_SECONDS, TimeUnit.SECONDS));
+      // The old process closes the connections of its clients.
+      disturbed = true;
+      oldProcess.destroy();
+      assertTrue(
+          "the old process is still running", oldProcess.waitFor(START_SECONDS, TimeUnit.SECONDS));
     }
 
-    /** Sends a signal by its name; events that follow are waited for by what they lead to. */
+    /** Sends a signal, such as {@code STOP}, and does not wait for its effect. */
     void signal(String name) throws Exception {
       disturbed = true;
       assertEquals(
@@ -128,72 +154,77 @@
     }
 
     /**
-     * Tells it to end, and ends it where it has not done so at the earliest that a platform may;
-     * done once it has ended.
+     * Tells the process to end, kills it at the earliest time at which a platform may do that, and
+     * starts it again. Returns once the new process is ready.
      */
     void restart() throws Exception {
-      toldToEndAt = System.nanoTime();
+      shutdownSignalAt = System.nanoTime();
       disturbed = true;
       process.destroy();
-      if (!process.waitFor(LONGEST_END_MILLIS, TimeUnit.MILLISECONDS)) {
+      if (!process.waitFor(MAX_SHUTDOWN_MILLIS, TimeUnit.MILLISECONDS)) {
         process.destroyForcibly().waitFor();
       }
       start();
       awaitReady(door);
-      toldToEndAt = 0;
+      shutdownSignalAt = 0;
     }
 
     /**
-     * Whether a call that was asked then and whose connection failed now was owed an answer though
-     * the process was to end.
+     * Whether a call that was sent then and whose connection has just failed should have been
+     * answered although the process was told to end.
      */
-    private boolean owedBeforeEnd(long asked) {
-      long ended = toldToEndAt;
-      return ended != 0
-          && asked - ended < STILL_TAKEN_NANOS
-          && System.nanoTime() - asked > CROSSING_NANOS;
+    private boolean mustAnswerDespiteShutdown(long sentAt) {
+      long signalAt = shutdownSignalAt;
+      return signalAt != 0
+          && sentAt - signalAt < ACCEPTS_AFTER_SIGNAL_NANOS
+          && System.nanoTime() - sentAt > REQUEST_CROSSED_CLOSE_NANOS;
     }
 
+    /** Kills the process. */
     void kill() throws Exception {
       disturbed = true;
       process.destroyForcibly().waitFor();
     }
 
+    /** The view of the fleet that this front end reports. */
     JsonObject view() throws IOException {
       return JsonParser.parseString(FleetClient.ask(LOOPBACK, fleet, Frame.Kind.VIEW))
           .getAsJsonObject();
     }
 
-    /** Whom it holds alive without a doubt, itself included, in order. */
+    /**
+     * The names of the members that this front end holds alive and does not suspect, itself
+     * included, in order; the error if it does not answer.
+     */
     List<String> alive() {
       try {
         List<String> names = new ArrayList<>();
         view()
             .getAsJsonArray("members")
             .forEach(
-                m -> {
-                  String status = m.getAsJsonObject().get("status").getAsString();
+                member -> {
+                  String status = member.getAsJsonObject().get("status").getAsString();
                   if (status.equals("alive") || status.equals("self")) {
-                    names.add(m.getAsJsonObject().get("name").getAsString());
+                    names.add(member.getAsJsonObject().get("name").getAsString());
                   }
                 });
         names.sort(null);
         return names;
-      } catch (IOException
-          | IllegalStateException
-          | NullPointerException e) { // it does not tell yet
+      } catch (IOException | IllegalStateException | NullPointerException e) {
+        // The front end does not answer yet, or has no view yet.
         return List.of(String.valueOf(e));
       }
     }
 
+    /** The output of the processes of this front end so far. */
     String said() throws IOException {
       return Files.readString(log);
     }
   }
 
   /**
-   * What discovery does to those who ask it: {@code STALE} answers in time and tells nothing of
-   * what happens.
+   * How discovery treats requests: it answers, it refuses connections, it accepts them but does not
+   * answer, it answers with an error, or it answers in time but without new events.
    */
   enum Reach {
     WELL,
@@ -204,14 +235,16 @@
   }
 
   /**
-   * One front end's way to the change log: a listener of its own, which may fail in each way that a
-   * server can.
+   * The change log as one front end reaches it: a listener of its own, which can fail in each way
+   * of {@link Reach}.
    */
   final class Discovery {
     private int port = freePort();
     private HttpServer server;
     private volatile Reach reach = Reach.REFUSES;
-    private volatile int told;
+
+    /** The number of events that are served while the reach is {@code STALE}. */
+    private volatile int staleEventCount;
 
     Discovery() throws IOException {
       set(Reach.WELL);
@@ -222,55 +255,57 @@
     }
 
     /**
-     * Changes what is done from now on; what is being asked then is answered no more, but for
-     * {@code STALE}.
+     * Changes how requests are treated from now on. Pending requests get no answer, except on the
+     * change to {@code STALE}.
      */
     synchronized void set(Reach next) throws IOException {
-      told = eventCount();
-      boolean listened = reach != Reach.REFUSES;
-      if (!listened && next == Reach.REFUSES) {
+      staleEventCount = eventCount();
+      boolean wasListening = reach != Reach.REFUSES;
+      if (!wasListening && next == Reach.REFUSES) {
         return;
       }
       reach = next;
-      if (listened && next != Reach.STALE) {
+      if (wasListening && next != Reach.STALE) {
         server.stop(0);
       }
-      if (next != Reach.REFUSES && !(listened && next == Reach.STALE)) {
+      if (next != Reach.REFUSES && !(wasListening && next == Reach.STALE)) {
         server = HttpServer.create(new InetSocketAddress(InetAddress.getByName(LOOPBACK), port), 0);
-        server.setExecutor(ANSWERS);
+        server.setExecutor(CHANGE_LOG_EXECUTOR);
         server.createContext("/changes", this::answer);
         server.start();
       }
     }
 
+    /** Stops listening, and takes another port for the next listener. */
     synchronized void move() throws IOException {
       set(Reach.REFUSES);
       port = freePort();
     }
 
-    private void answer(HttpExchange x) throws IOException {
-      int since = Integer.parseInt(x.getRequestURI().getQuery().split("[=&]")[1]);
+    private void answer(HttpExchange exchange) throws IOException {
+      int since = Integer.parseInt(exchange.getRequestURI().getQuery().split("[=&]")[1]);
       if (reach == Reach.FAILS) {
-        x.sendResponseHeaders(503, -1);
-        x.close();
+        exchange.sendResponseHeaders(503, -1);
+        exchange.close();
         return;
       }
       awaitEvents(since);
       if (reach == Reach.WELL || reach == Reach.STALE) {
-        byte[] news =
-            changes(since, reach == Reach.STALE ? told : eventCount())
+        byte[] body =
+            changes(since, reach == Reach.STALE ? staleEventCount : eventCount())
                 .getBytes(StandardCharsets.UTF_8);
-        x.sendResponseHeaders(200, news.length);
-        x.getResponseBody().write(news);
-        x.close();
+        exchange.sendResponseHeaders(200, body.length);
+        exchange.getResponseBody().write(body);
+        exchange.close();
       }
     }
 
+    /** Waits until there are events after this number, for at most the time of one long poll. */
     private void awaitEvents(int since) {
       synchronized (events) {
         if (events.size() <= since || reach == Reach.STALE) {
           try {
-            events.wait(1_000);
+            events.wait(POLL_MILLIS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -283,7 +318,7 @@
   final Relay[][] relays;
   private final Path root = Files.createTempDirectory("processes");
   final List<Scenario.Worker> workers = new ArrayList<>();
-  private static final ExecutorService ANSWERS =
+  private static final ExecutorService CHANGE_LOG_EXECUTOR =
       Executors.newCachedThreadPool(
           r -> {
             Thread t = new Thread(r, "change log");
@@ -291,42 +326,46 @@
             return t;
           });
 
-  /** Of the change log; the first one has the whole list. */
+  /** The events of the change log; the first one is a snapshot of the whole list. */
   private final List<String> events = new ArrayList<>();
 
   private final IntFunction<Map<String, Object>> sections;
   private final String command;
   private final List<Thread> clients = new ArrayList<>();
-  private volatile boolean over;
+  private volatile boolean closed;
 
-  /** Between an answer and the next call of a client. */
+  /** How long a client waits between an answer and its next call. */
   volatile int pauseMillis = 5;
 
-  /** Functions that are called, evenly. */
+  /** How many functions are called, with equal shares. */
   volatile int functions = 20;
 
-  /** Each call's function is as if drawn, in the place of one after the other. */
+  /** Whether the functions are called in pseudo-random order instead of in turn. */
   volatile boolean drawn;
 
-  /** What becomes of each call. */
+  /** Receives the result of each call. */
   interface Seen {
     /**
-     * @param error null where it was served
+     * @param micros the time from the request to the answer
+     * @param error the error of the answer, null if the call was served
      */
-    void answer(Node n, long micros, String error);
+    void answer(Node node, long micros, String error);
   }
 
-  volatile Seen seen = (n, micros, error) -> {};
+  volatile Seen seen = (node, micros, error) -> {};
 
-  /** How long answers took, in microseconds. */
+  /** The times from request to answer, in microseconds. */
   final ConcurrentHistogram took = new ConcurrentHistogram(3);
 
+  /** The number of calls that were answered without an error. */
   final AtomicInteger served = new AtomicInteger();
+
+  /** Violations of the rule that each call gets exactly one answer. */
   final List<String> faults = java.util.Collections.synchronizedList(new ArrayList<>());
 
   private static Path stateRoot;
 
-  /** A folder of a front end's that lasts longer than its processes. */
+  /** A state directory of a front end that outlives its processes and this object. */
   static synchronized String stateDir(int number) {
     try {
       stateRoot = stateRoot == null ? Files.createTempDirectory("voters") : stateRoot;
@@ -336,6 +375,7 @@
     }
   }
 
+  /** Deletes the state directories of all front ends. */
   static synchronized void deleteStateDirs() throws IOException {
     try (var files = Files.walk(stateRoot)) {
       files.sorted(java.util.Comparator.reverseOrder()).forEach(f -> f.toFile().delete());
@@ -345,19 +385,23 @@
 
   private final int coldMillis;
 
-  /** Given out so far; another one with each start. */
-  private int seeds;
+  /** The last seed that was used; each configuration gets the next one. */
+  private int lastSeed;
 
   /**
-   * @param sections further sections of each front end's operator's file, as maps; null for none at
-   *     all
+   * Starts this many front ends and workers, and returns once the front ends are ready.
+   *
+   * @param sections the sections of the operator's file of each front end, as maps; null to start
+   *     without an operator's file
    */
   Processes(int size, int workerCount, IntFunction<Map<String, Object>> sections) throws Exception {
-    this(size, workerCount, sections, 17_000);
+    this(size, workerCount, sections, DEFAULT_COLD_MILLIS);
   }
 
   /**
-   * @param coldMillis how long a worker is cold
+   * Starts this many front ends and workers, and returns once the front ends are ready.
+   *
+   * @param coldMillis how long a worker counts as cold after it has started
    */
   Processes(int size, int workerCount, IntFunction<Map<String, Object>> sections, int coldMillis)
       throws Exception {
@@ -370,14 +414,14 @@
             .findFirst()
             .orElseThrow()
             .replaceAll("^run = \"(.*)\"\\s+#.*$", "$1");
-    List<String> all = new ArrayList<>();
+    List<String> endpoints = new ArrayList<>();
     for (int i = 0; i < workerCount; i++) {
-      Scenario.Worker w = new Scenario.Worker("w" + i);
-      w.answersAll = true;
-      workers.add(w);
-      all.add(endpoint(i, "in_service", 0));
+      Scenario.Worker worker = new Scenario.Worker("w" + i);
+      worker.answersAll = true;
+      workers.add(worker);
+      endpoints.add(endpoint(i, "in_service", 0));
     }
-    events.add(event(1, true, String.join(",", all)));
+    events.add(event(1, true, String.join(",", endpoints)));
     for (int i = 0; i < size; i++) {
       nodes.add(new Node(i));
     }
@@ -393,20 +437,20 @@
       for (Node n : nodes) {
         awaitReady(n.door);
       }
-    } catch (Exception
-        | AssertionError e) { // guards the machine against processes that nobody ends
+    } catch (Exception | AssertionError e) {
+      // Otherwise the processes that have started would go on running.
       close();
       throw e;
     }
     addClients();
   }
 
-  /** One more client at each front end. */
+  /** Starts one more client of each front end. */
   void addClients() {
-    int already = clients.size();
+    int clientCount = clients.size();
     for (Node n : nodes) {
-      long first = (already + n.number) * 1_000_000L;
-      Thread t = new Thread(() -> call(n, first), "client of n" + n.number);
+      long firstId = (clientCount + n.number) * IDS_PER_CLIENT;
+      Thread t = new Thread(() -> call(n, firstId), "client of n" + n.number);
       t.setDaemon(true);
       t.start();
       clients.add(t);
@@ -427,13 +471,13 @@
         + "}";
   }
 
-  private static String event(int seq, boolean whole, String endpoints) {
+  private static String event(int seq, boolean snapshot, String endpoints) {
     return "{\"seq\":"
         + seq
         + ",\"fleet\":{\"index\":"
         + seq
         + ",\"snapshot\":"
-        + whole
+        + snapshot
         + ",\"endpoints\":["
         + endpoints
         + "]}}";
@@ -455,7 +499,11 @@
     }
   }
 
-  /** The change log says that a worker is in another state, or has started anew. */
+  /**
+   * Adds an event to the change log: a worker is in another state, or has started again.
+   *
+   * @param since when the worker started, in milliseconds
+   */
   void list(int worker, String status, long since) {
     synchronized (events) {
       events.add(event(events.size() + 1, false, endpoint(worker, status, since)));
@@ -464,62 +512,66 @@
   }
 
   /**
-   * A port that nobody listens on, below those that the system gives to sockets by itself: guards a
-   * front end's port against any connection that is opened before it listens there.
+   * A port that nobody listens on, below the ephemeral port range: an outgoing connection can't
+   * take the port before the front end listens on it.
    */
   static synchronized int freePort() {
     while (true) {
-      lastPort = FIRST_PORT + (lastPort + 1 - FIRST_PORT) % PORTS;
+      lastPort = FIRST_PORT + (lastPort + 1 - FIRST_PORT) % PORT_COUNT;
       try (ServerSocket s = new ServerSocket(lastPort, 1, InetAddress.getByName(LOOPBACK));
           DatagramSocket d = new DatagramSocket(new InetSocketAddress(LOOPBACK, lastPort))) {
         return lastPort;
       } catch (IOException e) {
-        continue; // somebody has it
+        // The port is in use.
+        continue;
       }
     }
   }
 
-  private Process launch(Node n) throws IOException {
-    ProcessBuilder b =
+  private Process launch(Node node) throws IOException {
+    ProcessBuilder builder =
         new ProcessBuilder("/bin/sh", "-c", command)
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(n.log.toFile()))
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(node.log.toFile()))
             .directory(new File("."));
-    Path config = n.folder.resolve("config.json");
-    if (!n.keepsConfiguration) {
-      Files.writeString(config, configuration(n));
+    Path config = node.folder.resolve("config.json");
+    if (!node.keepsConfiguration) {
+      Files.writeString(config, configuration(node));
     }
-    b.environment()
+    builder
+        .environment()
         .putAll(
             Map.of(
                 "EDGE_CONFIG",
                 config.toString(),
                 "TMPDIR",
-                n.folder.toString(),
+                node.folder.toString(),
                 "EDGE_OPERATOR",
-                LOOPBACK + ":" + n.door));
+                LOOPBACK + ":" + node.door));
     if (sections != null) {
-      b.environment()
+      builder
+          .environment()
           .put(
               "UMBERRUN_OPERATOR",
-              Files.writeString(n.folder.resolve("operator.json"), operatorFile(n)).toString());
+              Files.writeString(node.folder.resolve("operator.json"), operatorFile(node))
+                  .toString());
     }
-    return b.start();
+    return builder.start();
   }
 
-  private String operatorFile(Node n) {
+  private String operatorFile(Node node) {
     JsonObject via = new JsonObject();
     for (Node other : nodes) {
-      if (other != n) {
-        via.addProperty(other.address(), LOOPBACK + ":" + relays[n.number][other.number].port());
+      if (other != node) {
+        via.addProperty(other.address(), LOOPBACK + ":" + relays[node.number][other.number].port());
       }
     }
     JsonObject file =
-        new com.google.gson.Gson().toJsonTree(sections.apply(n.number)).getAsJsonObject();
+        new com.google.gson.Gson().toJsonTree(sections.apply(node.number)).getAsJsonObject();
     JsonObject fleet = file.getAsJsonObject("fleet");
     if (fleet != null) {
       fleet.addProperty("name", FLEET);
-      fleet.addProperty("listen", n.address());
+      fleet.addProperty("listen", node.address());
       fleet.add("via", via);
       fleet.add(
           "join",
@@ -528,38 +580,35 @@
     }
     if (!file.has("learning")) {
       JsonObject learning = new JsonObject();
-      learning.addProperty("listen", LOOPBACK + ":" + n.learning);
+      learning.addProperty("listen", LOOPBACK + ":" + node.learning);
       file.add("learning", learning);
     }
     return file.toString();
   }
 
-  /** Tells a front end that discovery answers elsewhere from now on: where nobody listens yet. */
-  void moveDiscovery(Node n) throws Exception {
-    n.discovery.move();
-    Files.writeString(n.folder.resolve("config.json"), configuration(n));
+  /** Moves discovery to a port where nobody listens yet, and reloads the front end with it. */
+  void moveDiscovery(Node node) throws Exception {
+    node.discovery.move();
+    Files.writeString(node.folder.resolve("config.json"), configuration(node));
     assertEquals(
-        0, new ProcessBuilder("kill", "-HUP", Long.toString(n.process.pid())).start().waitFor());
+        0, new ProcessBuilder("kill", "-HUP", Long.toString(node.process.pid())).start().waitFor());
   }
 
-  /**
-   * The configuration as it is now: what discovery tells to this front end is known, up to the
-   * event that it tells.
-   */
-  String configuration(Node n) {
+  /** The configuration of a front end, with all events of the change log so far as known. */
+  String configuration(Node node) {
     String settings =
         Scenario.SETTINGS
             .replace("\"Siblings\":3", "\"Siblings\":" + relays.length)
-            .replace("\"Zone\":0", "\"Zone\":" + n.number % 3)
+            .replace("\"Zone\":0", "\"Zone\":" + node.number % 3)
             .replace("\"Cold\":17000", "\"Cold\":" + coldMillis);
     return "{\"name\":\"n"
-        + n.number
+        + node.number
         + "\",\"listen\":\"127.0.0.1:"
-        + n.rpc
+        + node.rpc
         + "\",\"seed\":\""
-        + Integer.toHexString(++seeds)
+        + Integer.toHexString(++lastSeed)
         + "\",\"limits\":{\"memory_mb\":192,\"sockets\":1024},\"changelog\":\""
-        + n.discovery.address()
+        + node.discovery.address()
         + "\",\"known\":"
         + changes(0, eventCount())
         + ",\"settings\":"
@@ -567,9 +616,10 @@
         + "}";
   }
 
+  /** Waits until the front end with this operator port is ready. */
   static void awaitReady(int door) throws Exception {
     await(
-        "a process is not ready",
+        "the process is not ready in time",
         START_SECONDS,
         () -> {
           try (Socket s = new Socket(LOOPBACK, door)) {
@@ -585,48 +635,60 @@
         });
   }
 
-  /** Waits for an event that shows in what the processes tell. */
-  static void await(String otherwise, long seconds, Callable<Boolean> event) throws Exception {
+  /**
+   * Polls a condition until it holds.
+   *
+   * @param failure the message of the assertion error if it does not hold in time
+   */
+  static void await(String failure, long seconds, Callable<Boolean> condition) throws Exception {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-    while (!event.call()) {
-      assertTrue(otherwise, System.nanoTime() < end);
+    while (!condition.call()) {
+      assertTrue(failure, System.nanoTime() < end);
       Thread.sleep(20);
     }
   }
 
-  /** Waits until just these tell the same: just these. */
+  /** Waits until each of these front ends holds exactly these alive. */
   void awaitView(long seconds, int... living) throws Exception {
     List<String> names = java.util.Arrays.stream(living).mapToObj(i -> "n" + i).toList();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
     for (int i : living) {
-      List<String> told = nodes.get(i).alive();
-      while (!told.equals(names)) {
+      List<String> seenAlive = nodes.get(i).alive();
+      while (!seenAlive.equals(names)) {
         if (System.nanoTime() > end) {
           throw new AssertionError(
-              "n" + i + " tells " + told + ", not " + names + "; " + nodes.get(i).view());
+              "n"
+                  + i
+                  + " holds "
+                  + seenAlive
+                  + " alive, not "
+                  + names
+                  + "; "
+                  + nodes.get(i).view());
         }
         Thread.sleep(20);
-        told = nodes.get(i).alive();
+        seenAlive = nodes.get(i).alive();
       }
     }
   }
 
-  /** Cuts one way, or heals it. */
+  /** Cuts the link between two front ends in one direction, or restores it. */
   void cut(int from, int to, boolean cut) {
     relays[from][to].cut = cut;
     relays[to][from].cutBack = cut;
   }
 
-  /** What is done to each way. */
+  /** An action on the relay of one direction between two front ends. */
   interface Fault {
-    void on(Relay r);
+    void on(Relay relay);
   }
 
-  void eachWay(Fault f) {
+  /** Applies an action to the relays of all pairs, in both directions. */
+  void eachWay(Fault fault) {
     for (Relay[] row : relays) {
       for (Relay r : row) {
         if (r != null) {
-          f.on(r);
+          fault.on(r);
         }
       }
     }
@@ -635,48 +697,52 @@
   // ---------------------------------------------------------------- clients
 
   /**
-   * Calls without a pause, one call at a time: each is owed its one answer unless the test
-   * disturbed the process.
+   * Runs a client: it calls one front end all the time, one call after the other. Each call must
+   * get exactly one answer, unless the test disturbed the process.
+   *
+   * @param firstId the request id of the first call
    */
-  private void call(Node n, long first) {
-    long rid = first;
-    while (!over) {
-      boolean before = n.disturbed;
-      try (Socket s = new Socket(LOOPBACK, n.rpc)) {
-        s.setSoTimeout(CALL_BUDGET_MILLIS + 2_000);
-        MessageUnpacker in = MessagePack.newDefaultUnpacker(s.getInputStream());
-        for (int id = 1; !over; id++) {
-          before = n.disturbed;
-          long asked = System.nanoTime();
-          s.getOutputStream().write(request(id, rid++));
+  private void call(Node node, long firstId) {
+    long requestId = firstId;
+    while (!closed) {
+      boolean wasDisturbed = node.disturbed;
+      try (Socket socket = new Socket(LOOPBACK, node.rpc)) {
+        socket.setSoTimeout(CALL_BUDGET_MILLIS + ANSWER_SLACK_MILLIS);
+        MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(socket.getInputStream());
+        for (int id = 1; !closed; id++) {
+          wasDisturbed = node.disturbed;
+          long sentAt = System.nanoTime();
+          socket.getOutputStream().write(request(id, requestId++));
           List<Value> answer;
           try {
-            answer = in.unpackValue().asArrayValue().list();
+            answer = unpacker.unpackValue().asArrayValue().list();
           } catch (IOException | RuntimeException e) {
-            if (!before && !n.disturbed || n.owedBeforeEnd(asked)) {
-              faults.add("n" + n.number + " owes the answer to call " + id + ": " + e);
+            if (!wasDisturbed && !node.disturbed || node.mustAnswerDespiteShutdown(sentAt)) {
+              faults.add("n" + node.number + " did not answer call " + id + ": " + e);
             }
             throw new IOException(e);
           }
           if (answer.get(1).asIntegerValue().asInt() != id) {
-            faults.add("n" + n.number + " answers " + answer + " to call " + id);
+            faults.add("n" + node.number + " sent " + answer + " as the answer to call " + id);
           }
-          long micros = (System.nanoTime() - asked) / 1_000;
+          long micros = (System.nanoTime() - sentAt) / 1_000;
           took.recordValue(micros);
           served.addAndGet(answer.get(2).isNilValue() ? 1 : 0);
-          seen.answer(n, micros, answer.get(2).isNilValue() ? null : answer.get(2).toString());
+          seen.answer(node, micros, answer.get(2).isNilValue() ? null : answer.get(2).toString());
           Thread.sleep(pauseMillis);
-          if (n.quiet) { // a connection that rests for so long is closed
+          // The front end closes a connection that is idle for that long.
+          if (node.quiet) {
             break;
           }
         }
-        while (n.quiet && !over) {
+        while (node.quiet && !closed) {
           Thread.sleep(pauseMillis);
         }
       } catch (IOException e) {
         try {
-          Thread.sleep(50); // it does not listen, or has let go of us
-        } catch (InterruptedException i) {
+          // The front end does not listen, or has closed the connection.
+          Thread.sleep(RECONNECT_MILLIS);
+        } catch (InterruptedException interrupted) {
           return;
         }
       } catch (InterruptedException e) {
@@ -685,43 +751,45 @@
     }
   }
 
-  /** In turn, or as if drawn. */
-  private long function(long rid) {
+  /** The function of a call: in turn, or in pseudo-random order if {@link #drawn} is set. */
+  private long function(long requestId) {
     return drawn
-        ? Math.floorMod(Long.hashCode(rid * 0x9e3779b97f4a7c15L), functions)
-        : rid * 7919 % functions;
+        ? Math.floorMod(Long.hashCode(requestId * 0x9e3779b97f4a7c15L), functions)
+        : requestId * 7919 % functions;
   }
 
-  byte[] request(int id, long rid) throws IOException {
+  /** Encodes a call in the platform's protocol. */
+  byte[] request(int id, long requestId) throws IOException {
     Map<String, String> fields =
         Map.of(
             "rid",
-            String.format("%016x", rid),
+            String.format("%016x", requestId),
             "budget",
             Integer.toString(CALL_BUDGET_MILLIS),
             "acct",
             "central-council",
             "obj",
-            String.format("%016x", 1 + function(rid)),
+            String.format("%016x", 1 + function(requestId)),
             "info",
             "memory_mb:512;lanes:2;load_ms:100");
-    var out = MessagePack.newDefaultBufferPacker();
-    out.packArrayHeader(4)
+    var packer = MessagePack.newDefaultBufferPacker();
+    packer
+        .packArrayHeader(4)
         .packInt(0)
         .packInt(id)
         .packString("date-lookup")
         .packArrayHeader(2)
         .packMapHeader(fields.size());
     for (Map.Entry<String, String> f : fields.entrySet()) {
-      out.packString(f.getKey()).packString(f.getValue());
+      packer.packString(f.getKey()).packString(f.getValue());
     }
-    out.packBinaryHeader(2).writePayload(new byte[] {'h', 'i'});
-    return out.toByteArray();
+    packer.packBinaryHeader(2).writePayload(new byte[] {'h', 'i'});
+    return packer.toByteArray();
   }
 
   @Override
   public void close() throws Exception {
-    over = true;
+    closed = true;
     for (Thread t : clients) {
       t.join(TimeUnit.SECONDS.toMillis(CALL_BUDGET_MILLIS / 1_000 + 3));
     }
--- a/src/test/java/umberrun/Scenario.java
+++ b/src/test/java/umberrun/Scenario.java
@@ -45,17 +45,29 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * The scenario language: each line names a party, a verb (send, expect, close, wait) and words.
- * Parties are clients of the platform's protocol (c1), of the invoke API (h1), workers (w1, in
- * hall-a; x1, in hall-b; w1-b, in another cell), the change log (log) and Consul; r1 is a client of
- * the invoke API that writes its bytes itself, and d1 one of the operators' door. What a party
- * expects must come within ten seconds, and is waited for as an event.
+ * Runs front ends in this process and plays scenarios against them. Each line of a scenario names a
+ * party, a verb (send, expect, close, wait) and arguments. Parties are clients of the platform's
+ * protocol (c1), clients of the invoke API (h1), workers (w1, in hall-a; x1, in hall-b; w1-b, in
+ * another cell), the change log (log) and Consul (consul). A client r1 of the invoke API sends raw
+ * bytes, and d1 is a client of the operator interface. What a party expects must arrive within ten
+ * seconds.
  */
 final class Scenario implements AutoCloseable {
+  /** How long to wait for anything that is expected. */
   static final long PATIENCE_SECONDS = 10;
-  private static final int RECEIVE_BYTES = 16 << 10;
-  private static final int FULL_MILLIS = 300;
+
+  private static final int RECEIVE_BUFFER_BYTES = 16 << 10;
+
+  /** A connection that is not accepted within this shows that the backlog of a listener is full. */
+  private static final int BACKLOG_FULL_MILLIS = 300;
+
+  /** How long a poll of discovery is held if nothing has changed. */
+  private static final long POLL_MILLIS = 1_000;
+
+  private static final int DEFAULT_SOCKETS = 8_192;
   private static final String LOOPBACK = "127.0.0.1";
+
+  /** The settings of the deployment that most tests use. */
   static final String SETTINGS =
       """
       {"Classes":[{"Aim":800,"DedupWindow":5000,"GiveUp":4000,"Group":"all","Idempotency":"idempotent",
@@ -72,53 +84,71 @@
        "Kinds":["std-2"],"Zones":["hall-a","hall-b","hall-c"]}""";
 
   private final Map<String, Worker> workers = new HashMap<>();
-  private final Map<String, Raw> raws = new HashMap<>();
+  private final Map<String, RawClient> rawClients = new HashMap<>();
   private final Map<String, RpcClient> clients = new HashMap<>();
-  private final Map<String, CompletableFuture<HttpResponse<byte[]>>> asked = new HashMap<>();
+  private final Map<String, CompletableFuture<HttpResponse<byte[]>>> responses = new HashMap<>();
   private final HttpClient http =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private final Map<String, String> env;
   private final int sockets;
   private final String settings;
-  private final Path shared;
-  private HttpServer roll;
+  private final Path sharedFolder;
+
+  /** Answers as the change log and as Consul. */
+  private HttpServer discoveryServer;
+
+  /** The events of the change log. */
   private final List<String> events = new ArrayList<>();
+
+  /** The name and the health status of each worker at Consul. */
   private final List<String> consulWorkers = new ArrayList<>();
+
+  /** The front ends that are registered at Consul, by service id. */
   private final Map<String, JsonObject> instances = new java.util.concurrent.ConcurrentHashMap<>();
-  private final BlockingQueue<String> registered = new LinkedBlockingQueue<>();
-  private final BlockingQueue<Spoilt> spoilt = new LinkedBlockingQueue<>();
+
+  /** The path and the body of each request to the Consul agent. */
+  private final BlockingQueue<String> agentRequests = new LinkedBlockingQueue<>();
+
+  /** What happens to the next polls of the change log. */
+  private final BlockingQueue<Spoilt> pollFaults = new LinkedBlockingQueue<>();
+
   private int consulIndex = 1;
 
-  /** Consul answers each query with an error. */
+  /** Whether Consul answers each request with an error. */
   volatile boolean consulFails;
 
+  /** The Location header of the last answer that had one. */
   private String location;
+
+  /** The front end that was started last. */
   Server server;
 
-  /** Of the front end that is started next. */
+  /** The name of the front end that is started next. */
   String name = "n1";
 
   private final List<Server> servers = new ArrayList<>();
 
   /**
-   * Starts a front end with these workers; {@code consul} has them listed there instead of in the
-   * change log.
+   * Starts a front end with these workers.
+   *
+   * @param consul whether Consul lists the workers instead of the change log
+   * @param operatorDeferred the section {@code deferred} of the operator's file, as JSON
    */
   Scenario(boolean consul, String operatorDeferred, String... names) throws Exception {
-    this(8_192, consul, operatorDeferred, names);
+    this(DEFAULT_SOCKETS, consul, operatorDeferred, names);
   }
 
-  /** The same within so many descriptors. */
+  /** Starts a front end with a limit on its sockets. */
   Scenario(int sockets, boolean consul, String operatorDeferred, String... names) throws Exception {
     this(sockets, SETTINGS, null, consul, operatorDeferred, names);
   }
 
-  /** A front end of another deployment. */
+  /** Starts a front end with other settings. */
   static Scenario with(String settings, String... names) throws Exception {
-    return new Scenario(8_192, settings, null, false, "{}", names);
+    return new Scenario(DEFAULT_SOCKETS, settings, null, false, "{}", names);
   }
 
-  /** What tells this deployment from others with the same name. */
+  /** The mark that distinguishes a deployment with these settings from others of the same name. */
   static String deployment(String settings) throws Exception {
     Path file =
         Files.writeString(
@@ -130,31 +160,31 @@
     return Config.read(Map.of("EDGE_CONFIG", file.toString())).deployment();
   }
 
-  /** With a door for operators and a folder to share with a successor. */
-  static Scenario daily(Path shared, String... names) throws Exception {
-    return dailyWith(SETTINGS, shared, names);
+  /** Starts a front end with an operator interface and a folder that it shares with a successor. */
+  static Scenario daily(Path sharedFolder, String... names) throws Exception {
+    return dailyWith(SETTINGS, sharedFolder, names);
   }
 
-  /** The same of another deployment. */
-  static Scenario dailyWith(String settings, Path shared, String... names) throws Exception {
-    return new Scenario(8_192, settings, shared, false, "{}", names);
+  /** Starts a front end as {@link #daily} does, with other settings. */
+  static Scenario dailyWith(String settings, Path sharedFolder, String... names) throws Exception {
+    return new Scenario(DEFAULT_SOCKETS, settings, sharedFolder, false, "{}", names);
   }
 
   private Scenario(
       int sockets,
       String settings,
-      Path shared,
+      Path sharedFolder,
       boolean consul,
       String operatorDeferred,
       String... names)
       throws Exception {
     this.sockets = sockets;
     this.settings = settings;
-    this.shared = shared;
-    roll = roll();
+    this.sharedFolder = sharedFolder;
+    discoveryServer = startDiscoveryServer();
     for (String name : names) {
       workers.put(name, new Worker(name));
-      change(name, "in_service");
+      addEvent(name, "in_service");
       consulWorkers.add(name + " passing");
     }
     JsonObject operator = new JsonObject();
@@ -179,7 +209,7 @@
             "UMBERRUN_OPERATOR",
             file.toString(),
             "EDGE_OPERATOR",
-            shared == null ? "" : LOOPBACK + ":0");
+            sharedFolder == null ? "" : LOOPBACK + ":0");
     CompletableFuture<Server> made = new CompletableFuture<>();
     Server.heed(env, made);
     server = start(env);
@@ -187,50 +217,54 @@
   }
 
   private Server start(Map<String, String> env) throws Exception {
-    return open(new Server(Config.read(env), shared));
+    return open(new Server(Config.read(env), sharedFolder));
   }
 
-  private Server open(Server s) throws Exception {
-    servers.add(s);
-    s.open().toCompletionStage().toCompletableFuture().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
-    return s;
+  private Server open(Server opened) throws Exception {
+    servers.add(opened);
+    opened.open().toCompletionStage().toCompletableFuture().get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    return opened;
   }
 
   /**
-   * Starts the program a second time at the clients' address; parties that come now meet either.
-   * The one before.
+   * Starts a second front end at the same client address, so that new clients reach either of them.
+   *
+   * @return the front end that {@link #server} was before
    */
   Server succeed() throws Exception {
-    Server before = server;
-    write(config(before.rpcPort()));
+    Server previous = server;
+    write(config(previous.rpcPort()));
     server = start(env);
-    return before;
+    return previous;
   }
 
   /**
-   * Starts another front end beside this one; the change log moves, and the signal comes, once it
-   * has read where that was.
+   * Starts another front end beside this one. After it has read its configuration, and before it
+   * opens, the change log moves and the signal to reload arrives.
    */
   void startAsTheRollMoves() throws Exception {
     CompletableFuture<Server> made = new CompletableFuture<>();
     Server.heed(env, made);
     write(config(0));
-    Server next = new Server(Config.read(env), shared);
+    Server next = new Server(Config.read(env), sharedFolder);
     moveRollBy(
         text -> {
           write(text);
           Signal.raise(new Signal("HUP"));
         });
     while (made.getNumberOfDependents() < 1) {
-      Thread.onSpinWait(); // the signal has come
+      // Until the handler of the signal waits for the server.
+      Thread.onSpinWait();
     }
     made.complete(next);
     server = open(next);
   }
 
   /**
-   * Starts another front end beside this one, which knows the same workers and learns from these
+   * Starts another front end beside this one, with the same workers, which fetches facts from these
    * peers.
+   *
+   * @return the front end that {@link #server} was before
    */
   Server learn(String... peers) throws Exception {
     JsonObject learning = new JsonObject();
@@ -241,9 +275,13 @@
     return beside(file);
   }
 
-  /** Starts another front end beside this one with this operator's file; the one before. */
+  /**
+   * Starts another front end beside this one with this operator's file.
+   *
+   * @return the front end that {@link #server} was before
+   */
   Server beside(JsonObject file) throws Exception {
-    Server before = server;
+    Server previous = server;
     Map<String, String> other = new HashMap<>(env);
     other.put(
         "UMBERRUN_OPERATOR",
@@ -251,21 +289,28 @@
     Path main = Path.of(env.get("EDGE_CONFIG"));
     Files.writeString(main, config(0));
     server = start(other);
-    return before;
+    return previous;
   }
 
-  /** What this address answers to a GET: its status, its Retry-After and its body. */
+  /** The status, the Retry-After header and the body of the answer to a GET request. */
   String get(int port, String path) throws Exception {
-    HttpResponse<String> r =
+    HttpResponse<String> response =
         http.send(
             HttpRequest.newBuilder(URI.create("http://" + LOOPBACK + ":" + port + path)).build(),
             HttpResponse.BodyHandlers.ofString());
-    return r.statusCode() + " " + r.headers().firstValue("Retry-After").orElse("") + " " + r.body();
+    return response.statusCode()
+        + " "
+        + response.headers().firstValue("Retry-After").orElse("")
+        + " "
+        + response.body();
   }
 
   /**
-   * Starts the program a second time as a process of its own, with a door at this port, within
-   * {@code TMPDIR}.
+   * Starts a second front end at the same client address as a process of its own, and returns once
+   * it is ready.
+   *
+   * @param temporary the {@code TMPDIR} of the process
+   * @param door the port of its operator interface
    */
   Process succeedAsProcess(Path temporary, int door, String settings) throws Exception {
     write(config(server.rpcPort(), settings));
@@ -279,7 +324,10 @@
         "serve");
   }
 
-  /** The same with a parent that ignores the signal that announces a new configuration. */
+  /**
+   * Does the same from a parent process that ignores SIGHUP, the signal that announces a new
+   * configuration.
+   */
   Process succeedUnderNohup(Path temporary, int door) throws Exception {
     write(config(server.rpcPort()));
     return process(
@@ -296,8 +344,9 @@
   }
 
   private Process process(Path temporary, int door, String... command) throws Exception {
-    ProcessBuilder b = new ProcessBuilder(command).inheritIO();
-    b.environment()
+    ProcessBuilder builder = new ProcessBuilder(command).inheritIO();
+    builder
+        .environment()
         .putAll(
             Map.of(
                 "EDGE_CONFIG",
@@ -306,13 +355,13 @@
                 LOOPBACK + ":" + door,
                 "TMPDIR",
                 temporary.toString()));
-    Process p = b.start();
+    Process started = builder.start();
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
     while (!isReady(door)) {
-      assertTrue("the second process is not ready", p.isAlive() && System.nanoTime() < end);
+      assertTrue("the second process is not ready", started.isAlive() && System.nanoTime() < end);
       Thread.sleep(20);
     }
-    return p;
+    return started;
   }
 
   private boolean isReady(int door) throws InterruptedException {
@@ -324,12 +373,13 @@
                   HttpResponse.BodyHandlers.ofString())
               .statusCode()
           == 200;
-    } catch (IOException e) { // it does not listen yet
+    } catch (IOException e) {
+      // The process does not listen yet.
       return false;
     }
   }
 
-  private HttpServer roll() throws IOException {
+  private HttpServer startDiscoveryServer() throws IOException {
     HttpServer server = HttpServer.create(new InetSocketAddress(LOOPBACK, 0), 0);
     server.setExecutor(
         java.util.concurrent.Executors.newCachedThreadPool(
@@ -338,14 +388,14 @@
               t.setDaemon(true);
               return t;
             }));
-    server.createContext("/changes", this::changes);
-    server.createContext("/v1/", this::consul);
+    server.createContext("/changes", this::answerPoll);
+    server.createContext("/v1/", this::answerConsul);
     server.start();
     return server;
   }
 
   String rollAddress() {
-    return LOOPBACK + ":" + roll.getAddress().getPort();
+    return LOOPBACK + ":" + discoveryServer.getAddress().getPort();
   }
 
   private String config(int port) {
@@ -368,76 +418,90 @@
         + "}";
   }
 
-  /** Plays these lines while the front end's loop stands still, as on a machine that is late. */
+  /**
+   * Plays these lines, and then runs the check, while the event loop of the front end is blocked,
+   * as on a machine that falls behind.
+   */
   void playUnseen(String lines, Loop check) throws Exception {
-    playStanding(stand -> server.context().runOnContext(v -> stand.run()), lines, check);
+    playWhileBlocked(block -> server.context().runOnContext(v -> block.run()), lines, check);
   }
 
   /**
-   * The same from so many milliseconds on and for so many more, across what is due then, and two
-   * turns after that.
+   * Plays these lines while the event loop is blocked, so that timers that are due in that time
+   * fire only after the lines.
+   *
+   * @param from when the loop is blocked, in milliseconds from now; two turns of the loop later, to
+   *     be precise
+   * @param more for how long it stays blocked after the lines, in milliseconds
    */
   void playAcross(long from, long more, String lines) throws Exception {
     Context loop = server.context();
-    playStanding(
-        stand ->
+    playWhileBlocked(
+        block ->
             loop.runOnContext(
                 v ->
                     loop.owner()
                         .setTimer(
                             from,
-                            t -> loop.runOnContext(x -> loop.runOnContext(y -> stand.run())))),
+                            t -> loop.runOnContext(x -> loop.runOnContext(y -> block.run())))),
         lines,
-        () -> LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(more))); // what is due falls due
+        () -> LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(more)));
   }
 
-  private void playStanding(Consumer<Runnable> arrange, String lines, Loop check) throws Exception {
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch over = new CountDownLatch(1);
+  /**
+   * Blocks the event loop, plays the lines and runs the check.
+   *
+   * @param arrange has the event loop run the task that blocks it
+   */
+  private void playWhileBlocked(Consumer<Runnable> arrange, String lines, Loop check)
+      throws Exception {
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch released = new CountDownLatch(1);
     arrange.accept(
         () -> {
-          stands.countDown();
+          blocked.countDown();
           try {
-            over.await();
+            released.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    stands.await();
+    blocked.await();
     try {
       play(lines);
       check.run();
     } finally {
-      over.countDown();
+      released.countDown();
     }
   }
 
   /**
-   * The change log answers elsewhere from now on, and the configuration says where. The old one
-   * stays silent.
+   * Moves the change log to another address and reloads the configuration with that. The old server
+   * accepts polls but no longer answers them.
    */
   void moveRoll() throws Exception {
     moveRollBy(config -> reload(config, Count.CONFIGS_TAKEN));
   }
 
-  /** The same with a way of one's own to put the new configuration in place. */
+  /** Moves the change log, and puts the new configuration in place as the argument says. */
   void moveRollBy(Reload reload) throws Exception {
-    roll = roll();
+    discoveryServer = startDiscoveryServer();
     reload.with(config(0));
   }
 
+  /** Puts a configuration in place. */
   interface Reload {
     void with(String config) throws Exception;
   }
 
-  /** Puts another configuration in place. */
+  /** Replaces the configuration file, without a signal. */
   void write(String config) throws IOException {
     Files.writeString(Path.of(env.get("EDGE_CONFIG")), config);
   }
 
   /**
-   * Puts another configuration in place and sends the signal; returns once {@code outcome} was
-   * counted.
+   * Replaces the configuration file and sends the signal to reload it. Returns once the counter
+   * {@code outcome} has increased.
    */
   void reload(String config, Count outcome) throws Exception {
     long before = server.counters().get(outcome);
@@ -446,11 +510,12 @@
     await(outcome, before);
   }
 
+  /** Starts a front end with these workers and the default limits for deferred calls. */
   static Scenario of(String... workers) throws Exception {
     return new Scenario(false, "{}", workers);
   }
 
-  /** Plays the lines of a text. */
+  /** Plays the lines of a scenario. */
   Scenario play(String text) throws Exception {
     for (String line : text.strip().split("\n")) {
       try {
@@ -467,7 +532,7 @@
     String verb = words[1];
     String[] rest = Arrays.copyOfRange(words, 2, words.length);
     switch (party.charAt(0)) {
-      case 'w', 'x' -> worker(party, verb, rest);
+      case 'w', 'x' -> workerStep(party, verb, rest);
       case 'c' -> {
         if (party.equals("consul")) {
           consulStep(verb, rest);
@@ -475,43 +540,47 @@
           clients.computeIfAbsent(party, p -> new RpcClient()).step(verb, rest);
         }
       }
-      case 'h' -> invoke(party, verb, rest);
+      case 'h' -> invokeStep(party, verb, rest);
       case 'r' ->
-          raws.computeIfAbsent(party, p -> connect(server.invokePort()))
+          rawClients
+              .computeIfAbsent(party, p -> connect(server.invokePort()))
               .step(verb, String.join(" ", rest));
-      case 'd' -> door(party, verb, String.join(" ", rest));
-      case 'l' -> change(rest[0], rest[1]);
-      default -> fail("no such party");
+      case 'd' -> operatorStep(party, verb, String.join(" ", rest));
+      case 'l' -> addEvent(rest[0], rest[1]);
+      default -> fail("unknown party: " + party);
     }
   }
 
-  /** A further worker comes up. */
+  /** Starts another worker and adds it to the change log. */
   void append(String name) throws Exception {
     workers.put(name, new Worker(name));
-    change(name, "in_service");
+    addEvent(name, "in_service");
   }
 
-  /** A further worker comes up, and the front end has been told of it when this returns. */
+  /** Starts another worker, and returns once the front end has it in its list. */
   void join(String name) throws Exception {
     long before = server.counters().get(Count.LIST_CHANGES);
     append(name);
     await(Count.LIST_CHANGES, before);
   }
 
-  /** Waits for the event that more was counted than before. */
+  /** Waits until a counter is higher than {@code before}. */
   void await(Count count, long before) throws InterruptedException {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
     while (server.counters().get(count) <= before) {
-      assertTrue("nothing more of " + count, System.nanoTime() < end);
+      assertTrue(count + " did not increase", System.nanoTime() < end);
       Thread.sleep(1);
     }
   }
 
-  /** One call of a mix of both styles and classes; the status of its final answer. */
+  /**
+   * Sends call number {@code i} of a mix of immediate and deferred calls of both classes. The
+   * result is the status of the final answer.
+   */
   CompletableFuture<String> mixed(int i) {
     boolean deferred = i % 2 == 0;
     String base = "http://" + LOOPBACK + ":" + server.invokePort();
-    HttpRequest.Builder r =
+    HttpRequest.Builder request =
         HttpRequest.newBuilder(
                 URI.create(base + "/v1/functions/7f3a9c21e0b4d65" + i % 8 + "/invocations"))
             .header("Invoke-Class", i % 3 == 0 ? "slot-change" : "date-lookup")
@@ -519,9 +588,9 @@
             .header("Idempotency-Key", "key-" + i)
             .POST(HttpRequest.BodyPublishers.ofString("call " + i));
     if (deferred) {
-      r.header("Prefer", "respond-async");
+      request.header("Prefer", "respond-async");
     }
-    return http.sendAsync(r.build(), HttpResponse.BodyHandlers.ofString())
+    return http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString())
         .thenCompose(
             x ->
                 x.statusCode() != 202
@@ -535,60 +604,67 @@
         .thenApply(x -> Integer.toString(x.statusCode()));
   }
 
+  /** The worker of this name. */
   Worker worker(String name) {
     return workers.get(name);
   }
 
   // ---------------------------------------------------------------- workers
 
-  private void worker(String name, String verb, String[] words) throws Exception {
-    Worker w = workers.get(name);
+  private void workerStep(String name, String verb, String[] words) throws Exception {
+    Worker worker = workers.get(name);
     switch (verb) {
-      case "expect" -> w.expect(words);
-      case "send" -> w.send(words);
-      case "close" -> w.close();
+      case "expect" -> worker.expect(words);
+      case "send" -> worker.send(words);
+      case "close" -> worker.close();
       case "wait" ->
           assertTrue(
-              "nothing was to come",
-              w.commands.poll(Long.parseLong(words[0]), TimeUnit.MILLISECONDS) == null);
-      default -> fail("no such verb");
+              "unexpected command",
+              worker.commands.poll(Long.parseLong(words[0]), TimeUnit.MILLISECONDS) == null);
+      default -> fail("unknown verb: " + verb);
     }
   }
 
-  /** A command that a worker got, and the connection that its answer goes to. */
+  /** A command that a worker has received, and the connection to answer it on. */
   record Command(List<String> words, Socket from) {}
 
-  /** A stand-in for a worker; {@code answersAll} has it serve every RUN at once. */
+  /** A stand-in for a worker. It only records commands unless it is set to answer them. */
   static final class Worker {
     final ServerSocket listener;
     final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
     private final List<Socket> sockets = new ArrayList<>();
     private Command last;
     private Command previous;
+
+    /** Whether the worker answers every call, preload command and probe at once. */
     volatile boolean answersAll;
 
-    /** Takes what comes and says nothing. */
+    /** Whether the worker accepts commands without answering them. */
     volatile boolean silent;
 
+    /** The number of probes received while {@link #answersAll} is set. */
     final AtomicInteger probes = new AtomicInteger();
 
-    /** Calls and orders to load that came. */
+    /** The number of calls and preload commands received. */
     final AtomicInteger work = new AtomicInteger();
 
-    /** Takes what comes in the place of such answers. */
+    /** Handles the commands instead of the worker; null for none. */
     volatile Consumer<Command> serves;
 
-    /** The body of such an answer; the call's own where it is null. */
+    /** The body of the automatic answers; null to send back the body of the call. */
     volatile String longAnswer;
 
     /**
-     * Connections that take all places of one whose name ends in -held, so that no other comes up.
+     * Connections that fill the backlog of a worker whose name ends in -held, so that no other
+     * connection is established.
      */
     private final List<Socket> fillers = new ArrayList<>();
 
     /**
-     * @param name one that ends in -down refuses connections, one in -held lets none come up until
-     *     it sends 'up'
+     * Starts listening.
+     *
+     * @param name a worker whose name ends in -down refuses connections; one whose name ends in
+     *     -held does not accept any until it gets the step {@code send up}
      */
     Worker(String name) throws IOException {
       boolean held = name.endsWith("-held");
@@ -600,17 +676,18 @@
           while (true) {
             Socket filler = new Socket();
             fillers.add(filler);
-            filler.connect(listener.getLocalSocketAddress(), FULL_MILLIS);
+            filler.connect(listener.getLocalSocketAddress(), BACKLOG_FULL_MILLIS);
           }
         } catch (java.net.SocketTimeoutException e) {
-          // now it is full
+          // The backlog is full.
         }
       } else {
-        comeUp();
+        acceptConnections();
       }
     }
 
-    void comeUp() {
+    /** Frees the backlog and accepts connections. */
+    void acceptConnections() {
       daemon(
           () -> {
             for (Socket filler : fillers) {
@@ -624,6 +701,7 @@
           });
     }
 
+    /** Reads commands from a connection, and answers them if the worker is set to. */
     private void read(Socket s) throws IOException {
       DataInputStream in = new DataInputStream(new java.io.BufferedInputStream(s.getInputStream()));
       while (true) {
@@ -635,42 +713,43 @@
                   StandardCharsets.ISO_8859_1));
           line(in);
         }
-        Command c = new Command(words, s);
+        Command command = new Command(words, s);
         work.addAndGet(words.get(0).equals("RUN") || words.get(0).equals("HOLD") ? 1 : 0);
         if (serves != null && !silent) {
-          serves.accept(c);
+          serves.accept(command);
           continue;
         }
         if (answersAll && !silent && words.get(0).equals("RUN")) {
-          answer(c, "200", "n=w", longAnswer != null ? longAnswer : words.get(3));
+          answer(command, "200", "n=w", longAnswer != null ? longAnswer : words.get(3));
         } else if (answersAll && !silent && words.get(0).equals("HOLD")) {
-          answer(c, "200", "pods=1", "");
+          answer(command, "200", "pods=1", "");
         } else if (answersAll && words.get(0).equals("INFO")) {
           probes.incrementAndGet();
           if (!silent) {
-            answer(c, "alive", "util:0.1", "");
+            answer(command, "alive", "util:0.1", "");
           }
         }
-        commands.add(c);
+        commands.add(command);
       }
     }
 
     private static String line(DataInputStream in) throws IOException {
-      StringBuilder b = new StringBuilder();
+      StringBuilder line = new StringBuilder();
       for (int c; (c = in.read()) != '\r'; ) {
         if (c < 0) {
           throw new IOException("closed");
         }
-        b.append((char) c);
+        line.append((char) c);
       }
       in.read();
-      return b.toString();
+      return line.toString();
     }
 
+    /** Waits for the next command, which must contain these words. */
     void expect(String... words) throws InterruptedException {
       previous = last;
       last = commands.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertNotNull("nothing came", last);
+      assertNotNull("no command arrived", last);
       String all = String.join(" ", last.words);
       for (String word : words) {
         assertTrue(all + " lacks " + word, all.contains(word));
@@ -678,9 +757,10 @@
     }
 
     /**
-     * Answers the last command, or the one before it: a word, fields and a body; or 'raw' bytes in
-     * hex; or 'unknown', an answer that nobody asked for; or 'reset', which ends the connection of
-     * the last command as a process does that dies; or 'up'.
+     * Answers the last command with a status, fields and a body. Other forms: {@code previous} and
+     * a status answers the command before the last; {@code raw} sends bytes in hex; {@code unknown}
+     * and a status sends an answer to an unknown call; {@code reset} resets the connection of the
+     * last command, as when a process dies; {@code up} accepts connections.
      */
     void send(String... words) throws IOException {
       if (words[0].equals("previous")) {
@@ -688,7 +768,7 @@
       } else if (words[0].equals("raw")) {
         last.from.getOutputStream().write(HexFormat.of().parseHex(words[1]));
       } else if (words[0].equals("up")) {
-        comeUp();
+        acceptConnections();
       } else if (words[0].equals("reset")) {
         last.from.setSoLinger(true, 0);
         last.from.close();
@@ -700,13 +780,18 @@
       }
     }
 
-    static void answer(Command c, String word, String fields, String body) throws IOException {
-      StringBuilder b = new StringBuilder("*4\r\n");
-      for (String part : List.of(c.words.get(1), word, fields, body)) {
-        b.append('$').append(part.length()).append("\r\n").append(part).append("\r\n");
+    /** Sends an answer to a command on the connection that the command came from. */
+    static void answer(Command command, String word, String fields, String body)
+        throws IOException {
+      StringBuilder reply = new StringBuilder("*4\r\n");
+      for (String part : List.of(command.words.get(1), word, fields, body)) {
+        reply.append('$').append(part.length()).append("\r\n").append(part).append("\r\n");
       }
-      synchronized (c.from) {
-        c.from.getOutputStream().write(b.toString().getBytes(StandardCharsets.ISO_8859_1));
+      synchronized (command.from) {
+        command
+            .from
+            .getOutputStream()
+            .write(reply.toString().getBytes(StandardCharsets.ISO_8859_1));
       }
     }
 
@@ -719,19 +804,21 @@
     }
   }
 
-  // ---------------------------------------------------------------- clients of the platform's
-  // protocol
+  // ---------------------------------------------------------------- platform protocol clients
 
+  /** A client of the platform's protocol. */
   private final class RpcClient {
     private final Socket socket;
     private final MessageUnpacker in;
+
+    /** The second half of a message whose first half was sent. */
     private byte[] rest;
 
     RpcClient() {
       try {
         socket = new Socket();
-        socket.setReceiveBufferSize(
-            RECEIVE_BYTES); // so that what a client does not read stays at the front end
+        // A small buffer, so that what the client does not read stays at the front end.
+        socket.setReceiveBufferSize(RECEIVE_BUFFER_BYTES);
         socket.connect(new InetSocketAddress(LOOPBACK, server.rpcPort()));
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
         in = MessagePack.newDefaultUnpacker(socket.getInputStream());
@@ -748,25 +835,30 @@
             assertEquals("still open", -1, socket.getInputStream().read());
             return;
           }
-          Value v = in.unpackValue();
-          if (words[0].equals(
-              "perhaps")) { // the answer to the call with this id, and then what is expected
-            v = v.toString().startsWith("[1," + words[1] + ",") ? in.unpackValue() : v;
+          Value received = in.unpackValue();
+          // "perhaps" and an id: an answer to that call may come before what is expected.
+          if (words[0].equals("perhaps")) {
+            received =
+                received.toString().startsWith("[1," + words[1] + ",")
+                    ? in.unpackValue()
+                    : received;
             words = Arrays.copyOfRange(words, 2, words.length);
           }
           for (String word : words) {
-            assertTrue(v + " lacks " + word, v.toString().contains(word));
+            assertTrue(received + " lacks " + word, received.toString().contains(word));
           }
         }
         case "close" -> socket.close();
-        case "open" -> {} // it is, and says nothing
-        default -> fail("no such verb");
+        // The constructor has opened the connection.
+        case "open" -> {}
+        default -> fail("unknown verb: " + verb);
       }
     }
 
     /**
-     * {@code id class name=value ... body=text}, {@code half} of such a one, its {@code rest},
-     * {@code revoke id}, or {@code raw hex}.
+     * Encodes a message. The words are {@code id class name=value ... body=text} for a call, {@code
+     * half} and a call for the first half of its bytes, {@code rest} for the second half of them,
+     * {@code revoke id}, or {@code raw hex}. A field with the value {@code none} is left out.
      */
     private byte[] message(String[] words) throws IOException {
       if (words[0].equals("half")) {
@@ -780,16 +872,17 @@
       if (words[0].equals("raw")) {
         return HexFormat.of().parseHex(words[1]);
       }
-      var out = MessagePack.newDefaultBufferPacker();
+      var packer = MessagePack.newDefaultBufferPacker();
       if (words[0].equals("revoke")) {
-        out.packArrayHeader(3)
+        packer
+            .packArrayHeader(3)
             .packInt(2)
             .packString("revoke")
             .packArrayHeader(1)
             .packLong(Long.parseLong(words[1]));
-        return out.toByteArray();
+        return packer.toByteArray();
       }
-      Map<String, String> f =
+      Map<String, String> fields =
           new HashMap<>(
               Map.of(
                   "rid",
@@ -803,39 +896,44 @@
                   "info",
                   "memory_mb:512;lanes:2;load_ms:100"));
       if (words[1].equals("slot-change")) {
-        f.put("token", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
+        fields.put("token", "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
       }
       for (int i = 2; i < words.length; i++) {
         String[] pair = words[i].split("=", 2);
-        f.put(pair[0], pair[1]);
+        fields.put(pair[0], pair[1]);
       }
-      String size = f.remove("size");
+      String size = fields.remove("size");
       byte[] body =
           size != null
               ? new byte[Integer.parseInt(size)]
-              : f.getOrDefault("body", "").getBytes(StandardCharsets.ISO_8859_1);
-      f.remove("body");
-      f.values().removeIf("none"::equals);
-      out.packArrayHeader(4)
+              : fields.getOrDefault("body", "").getBytes(StandardCharsets.ISO_8859_1);
+      fields.remove("body");
+      fields.values().removeIf("none"::equals);
+      packer
+          .packArrayHeader(4)
           .packInt(0)
           .packLong(Long.parseLong(words[0]))
           .packString(words[1])
           .packArrayHeader(2)
-          .packMapHeader(f.size());
-      for (Map.Entry<String, String> e : f.entrySet()) {
-        out.packString(e.getKey()).packString(e.getValue());
+          .packMapHeader(fields.size());
+      for (Map.Entry<String, String> field : fields.entrySet()) {
+        packer.packString(field.getKey()).packString(field.getValue());
       }
-      out.packBinaryHeader(body.length).writePayload(body);
-      return out.toByteArray();
+      packer.packBinaryHeader(body.length).writePayload(body);
+      return packer.toByteArray();
     }
   }
 
   // ---------------------------------------------------------------- clients of the invoke API
 
-  /** {@code METHOD path Header:value ... =body}; {@code @} as the path is the last Location. */
-  private void invoke(String party, String verb, String[] words) throws Exception {
+  /**
+   * Plays a step of a client of the invoke API. The words of a request are {@code METHOD path
+   * Header:value ... =body}, or {@code size:n} for a body of n bytes; the path {@code @} stands for
+   * the last Location.
+   */
+  private void invokeStep(String party, String verb, String[] words) throws Exception {
     if (verb.equals("send")) {
-      HttpRequest.Builder r =
+      HttpRequest.Builder request =
           HttpRequest.newBuilder(
               URI.create(
                   "http://"
@@ -851,40 +949,42 @@
         } else if (pair[0].equals("size")) {
           body = "x".repeat(Integer.parseInt(pair[1]));
         } else {
-          r.header(pair[0], pair[1]);
+          request.header(pair[0], pair[1]);
         }
       }
-      r.method(words[0], HttpRequest.BodyPublishers.ofString(body));
-      asked.put(party, http.sendAsync(r.build(), HttpResponse.BodyHandlers.ofByteArray()));
+      request.method(words[0], HttpRequest.BodyPublishers.ofString(body));
+      responses.put(
+          party, http.sendAsync(request.build(), HttpResponse.BodyHandlers.ofByteArray()));
     } else if (verb.equals("expect")) {
-      HttpResponse<byte[]> r = asked.get(party).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      HttpResponse<byte[]> response = responses.get(party).get(PATIENCE_SECONDS, TimeUnit.SECONDS);
       String all =
-          r.statusCode()
+          response.statusCode()
               + " "
-              + r.headers().map()
+              + response.headers().map()
               + " "
-              + new String(r.body(), StandardCharsets.UTF_8);
-      location = r.headers().firstValue("Location").orElse(location);
+              + new String(response.body(), StandardCharsets.UTF_8);
+      location = response.headers().firstValue("Location").orElse(location);
       for (String word : words) {
         assertTrue(all + " lacks " + word, all.contains(word));
       }
       assertTrue(all, all.startsWith(words[0]));
     } else if (verb.equals("close")) {
-      asked.get(party).cancel(true);
+      responses.get(party).cancel(true);
     }
   }
 
   /**
-   * A client that says just what it is told to say: {@code open}, {@code send text}, {@code expect
-   * text|close}.
+   * A client that sends raw text: {@code open}, {@code send text}, {@code expect text|close}. In
+   * the text, {@code |} stands for a line end.
    */
-  private record Raw(Socket socket) {
+  private record RawClient(Socket socket) {
     void step(String verb, String text) throws IOException {
       if (verb.equals("send")) {
         socket
             .getOutputStream()
             .write(text.replace("|", "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-      } else if (verb.equals("expect")) { // all that comes until the close
+      } else if (verb.equals("expect")) {
+        // Everything up to the close of the connection.
         String all =
             new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
         assertTrue(
@@ -893,46 +993,49 @@
     }
   }
 
-  private static Raw connect(int port) {
+  private static RawClient connect(int port) {
     try {
       Socket socket = new Socket(LOOPBACK, port);
       socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
-      return new Raw(socket);
+      return new RawClient(socket);
     } catch (IOException e) {
       throw new AssertionError(e);
     }
   }
 
   /**
-   * {@code send METHOD path} asks the door of the process started last; {@code open} and {@code
-   * say} send pieces.
+   * Plays a step of a client of the operator interface of the front end started last: {@code send
+   * METHOD path} sends a request, {@code open} only connects, and {@code say text} sends raw text.
    */
-  private void door(String party, String verb, String text) throws IOException {
-    Raw raw = raws.computeIfAbsent(party, p -> connect(server.doorPort()));
+  private void operatorStep(String party, String verb, String text) throws IOException {
+    RawClient client = rawClients.computeIfAbsent(party, p -> connect(server.doorPort()));
     if (verb.equals("send")) {
-      raw.step("send", text + " HTTP/1.1|Host: edge||");
+      client.step("send", text + " HTTP/1.1|Host: edge||");
     } else {
-      raw.step(verb.equals("say") ? "send" : verb, text);
+      client.step(verb.equals("say") ? "send" : verb, text);
     }
-    if (verb.equals("expect")) { // one call a connection
-      raws.remove(party).socket.close();
+    // The operator interface serves one request on a connection.
+    if (verb.equals("expect")) {
+      rawClients.remove(party).socket.close();
     }
   }
 
-  // ---------------------------------------------------------------- the change log, Consul
+  // ---------------------------------------------------------------- change log and Consul
 
-  /** Waits until the front end has taken in one more line of the list. */
+  /** Adds an event for a worker, and waits until the front end has applied it. */
   void tell(String worker, String state) throws Exception {
     long before = server.counters().get(Count.LIST_CHANGES);
-    change(worker, state);
+    addEvent(worker, state);
     await(Count.LIST_CHANGES, before);
   }
 
-  private void change(String worker, String state) {
-    change(events.isEmpty(), line(worker, state));
+  /** Adds an event for one worker to the change log; the first event is a snapshot. */
+  private void addEvent(String worker, String state) {
+    addEvent(events.isEmpty(), endpoint(worker, state));
   }
 
-  private String line(String worker, String state) {
+  /** The JSON of a worker in an event of the change log. */
+  private String endpoint(String worker, String state) {
     return "{\"name\":\""
         + worker
         + "\",\"address\":\""
@@ -948,35 +1051,39 @@
         + "\",\"weight\":1,\"since_ms\":0}";
   }
 
-  private void change(boolean whole, String lines) {
+  private void addEvent(boolean snapshot, String endpoints) {
     synchronized (events) {
       events.add(
           "{\"seq\":"
               + (events.size() + 1)
               + ",\"fleet\":{\"snapshot\":"
-              + whole
+              + snapshot
               + ",\"endpoints\":["
-              + lines
+              + endpoints
               + "]}}");
       events.notifyAll();
     }
   }
 
-  /** The whole list anew, as these workers and, where {@code spoilt}, a line that can't be read. */
-  void tellWhole(boolean spoilt, String... names) throws Exception {
+  /**
+   * Adds a snapshot with these workers, and waits until the front end has applied it.
+   *
+   * @param withUnreadable whether the snapshot also contains an unreadable line
+   */
+  void tellWhole(boolean withUnreadable, String... names) throws Exception {
     long before = server.counters().get(Count.LIST_CHANGES);
-    List<String> lines = new ArrayList<>();
+    List<String> endpoints = new ArrayList<>();
     for (String name : names) {
-      lines.add(line(name, "in_service"));
+      endpoints.add(endpoint(name, "in_service"));
     }
-    if (spoilt) {
-      lines.add("{\"name\":\"w9\",\"address\":null}");
+    if (withUnreadable) {
+      endpoints.add("{\"name\":\"w9\",\"address\":null}");
     }
-    change(true, String.join(",", lines));
+    addEvent(true, String.join(",", endpoints));
     await(Count.LIST_CHANGES, before);
   }
 
-  /** Events that can't be read. */
+  /** Adds unreadable events to the change log. */
   void tellUnreadable(String... unreadable) {
     synchronized (events) {
       events.addAll(List.of(unreadable));
@@ -988,6 +1095,7 @@
     return worker.startsWith("w") ? "hall-a" : "hall-b";
   }
 
+  /** The answer of the change log to a poll for the events after number {@code seen}. */
   private String changesSince(int seen) {
     synchronized (events) {
       return "{\"seq\":"
@@ -998,38 +1106,42 @@
     }
   }
 
-  private void changes(HttpExchange x) throws IOException {
-    int since = Integer.parseInt(x.getRequestURI().getQuery().split("[=&]")[1]);
+  private void answerPoll(HttpExchange exchange) throws IOException {
+    int since = Integer.parseInt(exchange.getRequestURI().getQuery().split("[=&]")[1]);
     synchronized (events) {
       try {
         if (events.size() <= since) {
-          events.wait(1_000);
+          events.wait(POLL_MILLIS);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    Spoilt how = x.getHttpContext().getServer() == roll ? spoilt.poll() : Spoilt.SILENT;
+    Spoilt fault =
+        exchange.getHttpContext().getServer() == discoveryServer
+            ? pollFaults.poll()
+            : Spoilt.SILENT;
     String text = changesSince(since);
-    if (how == null) {
-      reply(x, text);
-    } else if (how == Spoilt.ERROR) {
-      x.sendResponseHeaders(500, -1);
-      x.close();
-    } else if (how != Spoilt.SILENT) {
-      x.sendResponseHeaders(200, text.length());
-      x.getResponseBody()
+    if (fault == null) {
+      reply(exchange, text);
+    } else if (fault == Spoilt.ERROR) {
+      exchange.sendResponseHeaders(500, -1);
+      exchange.close();
+    } else if (fault != Spoilt.SILENT) {
+      exchange.sendResponseHeaders(200, text.length());
+      exchange
+          .getResponseBody()
           .write(text.substring(0, text.length() / 2).getBytes(StandardCharsets.UTF_8));
-      x.getResponseBody().flush();
-      if (how == Spoilt.BROKEN) {
-        x.close();
+      exchange.getResponseBody().flush();
+      if (fault == Spoilt.BROKEN) {
+        exchange.close();
       }
     }
   }
 
   /**
-   * What may become of a poll of the change log: an error, half an answer and then a close or
-   * nothing, nothing.
+   * The faults of a poll of the change log: an error, half an answer and then a close, half an
+   * answer and then nothing, no answer.
    */
   enum Spoilt {
     ERROR,
@@ -1038,28 +1150,29 @@
     SILENT
   }
 
-  /** The next polls of the change log come to this. */
-  void spoilPolls(Spoilt... how) {
-    spoilt.addAll(List.of(how));
+  /** Makes the next polls of the change log fail in these ways, one after the other. */
+  void spoilPolls(Spoilt... faults) {
+    pollFaults.addAll(List.of(faults));
   }
 
-  private static void reply(HttpExchange x, String text) throws IOException {
+  private static void reply(HttpExchange exchange, String text) throws IOException {
     byte[] body = text.getBytes(StandardCharsets.UTF_8);
-    x.sendResponseHeaders(200, body.length == 0 ? -1 : body.length);
-    x.getResponseBody().write(body);
-    x.close();
+    exchange.sendResponseHeaders(200, body.length == 0 ? -1 : body.length);
+    exchange.getResponseBody().write(body);
+    exchange.close();
   }
 
   /**
-   * {@code send w1 critical}, {@code send w1 gone}, or {@code expect word ...} of what was
-   * registered.
+   * Plays a step of Consul: {@code send w1 critical} sets the health of a worker, {@code send w1
+   * gone} removes it, and {@code expect word ...} waits for a request to the agent that contains
+   * these words.
    */
   private void consulStep(String verb, String[] words) throws InterruptedException {
     if (verb.equals("expect")) {
-      String text = registered.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
-      assertNotNull("nothing was registered", text);
+      String request = agentRequests.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+      assertNotNull("no request to the Consul agent", request);
       for (String word : words) {
-        assertTrue(text + " lacks " + word, text.contains(word));
+        assertTrue(request + " lacks " + word, request.contains(word));
       }
       return;
     }
@@ -1073,26 +1186,27 @@
     }
   }
 
-  private void consul(HttpExchange x) throws IOException {
-    String path = x.getRequestURI().getPath();
+  private void answerConsul(HttpExchange exchange) throws IOException {
+    String path = exchange.getRequestURI().getPath();
     if (consulFails) {
-      x.sendResponseHeaders(500, -1);
-      x.close();
+      exchange.sendResponseHeaders(500, -1);
+      exchange.close();
       return;
     }
     if (path.startsWith("/v1/agent/")) {
       ByteArrayOutputStream body = new ByteArrayOutputStream();
-      x.getRequestBody().transferTo(body);
-      registered.add(path + " " + body);
+      exchange.getRequestBody().transferTo(body);
+      agentRequests.add(path + " " + body);
       if (path.endsWith("/register")) {
         JsonObject service =
             com.google.gson.JsonParser.parseString(body.toString()).getAsJsonObject();
         instances.put(service.get("ID").getAsString(), service);
       }
-      reply(x, "");
+      reply(exchange, "");
       return;
     }
-    if (path.equals("/v1/catalog/service/umberrun")) { // the front ends' own service
+    // The service of the front ends themselves.
+    if (path.equals("/v1/catalog/service/umberrun")) {
       com.google.gson.JsonArray found = new com.google.gson.JsonArray();
       instances.forEach(
           (id, service) -> {
@@ -1101,14 +1215,15 @@
             entry.add("ServiceMeta", service.get("Meta"));
             found.add(entry);
           });
-      reply(x, found.toString());
+      reply(exchange, found.toString());
       return;
     }
     synchronized (consulWorkers) {
       boolean health = path.startsWith("/v1/health/");
       try {
-        if (health && x.getRequestURI().getQuery().startsWith("index=" + consulIndex + "&")) {
-          consulWorkers.wait(1_000);
+        if (health
+            && exchange.getRequestURI().getQuery().startsWith("index=" + consulIndex + "&")) {
+          consulWorkers.wait(POLL_MILLIS);
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
@@ -1132,17 +1247,19 @@
                     + zone(words[0])
                     + "\",\"kind\":\"std-2\"}}");
       }
-      x.getResponseHeaders().add("X-Consul-Index", Integer.toString(consulIndex));
-      reply(x, "[" + String.join(",", lines) + "]");
+      exchange.getResponseHeaders().add("X-Consul-Index", Integer.toString(consulIndex));
+      reply(exchange, "[" + String.join(",", lines) + "]");
     }
   }
 
-  // ---------------------------------------------------------------- small parts
+  // ---------------------------------------------------------------- threads
 
+  /** A task that may fail with an I/O error. */
   interface Loop {
     void run() throws IOException;
   }
 
+  /** Runs a task on a daemon thread; an I/O error ends it silently. */
   static Thread daemon(Loop loop) {
     Thread t =
         new Thread(
@@ -1150,7 +1267,7 @@
               try {
                 loop.run();
               } catch (IOException e) {
-                // the other side has closed
+                // The peer has closed the connection.
               }
             });
     t.setDaemon(true);
@@ -1166,6 +1283,6 @@
     for (Worker w : workers.values()) {
       w.close();
     }
-    roll.stop(0);
+    discoveryServer.stop(0);
   }
 }
