--- a/src/main/java/saddlestall/AdaptiveDispatcher.java
+++ b/src/main/java/saddlestall/AdaptiveDispatcher.java
@@ -331,7 +331,7 @@
     if (shouldShed(call)) {
       refuse(call);
     } else {
-      // What was refused and is retried might not count for the preload limit (rule 5).
+      // What was refused and is retried might not count for the limit on preloads per window.
       if (!arrival.retry()) {
         callTimes.add(now);
       }
@@ -826,8 +826,9 @@
   // ---------------------------------------------------------------- sending attempts
 
   /**
-   * Checks every send against the attempt limit and rules 2 (repeats of calls that may have run), 3
-   * (draining workers) and 4 (cold workers).
+   * Checks every send against the attempt limit and three rules: a call that may have run is
+   * repeated only as its idempotency allows, a draining worker gets nothing new, and a cold worker
+   * gets no more than its load limit.
    */
   private boolean maySend(PendingCall call, Worker worker) {
     if (call.attemptsSent >= settings.limits().maxAttempts()
@@ -865,10 +866,10 @@
   }
 
   /**
-   * Refills the budget of a cold worker (rule 4). The worker may get this front end's share of what
-   * a warm worker handles, times the overload multiple and its present share of full capacity. As
-   * every front end keeps to its share, all of them together keep the rule without coordination.
-   * While no worker is warm, the last known rate of warm workers applies.
+   * Refills the budget that enforces the load limit of a cold worker. The worker may get this front
+   * end's share of what a warm worker handles, times the overload multiple and its present share of
+   * full capacity. As every front end keeps to its share, all of them together keep the limit
+   * without coordination. While no worker is warm, the last known rate of warm workers applies.
    */
   private void refillColdBudget(Worker worker) {
     Rules rules = settings.rules();
@@ -953,8 +954,8 @@
   }
 
   /**
-   * Ends a call unserved. It is refused where a retry by the client is safe (rule 2), and fails
-   * otherwise.
+   * Ends a call unserved. It is refused where a retry by the client is safe, as a call that may
+   * have run is repeated only as its idempotency allows, and fails otherwise.
    */
   private void finish(PendingCall call) {
     boolean provedNotRun = !call.mayHaveRun && call.attemptsInFlight == 0;
@@ -989,10 +990,10 @@
   // ---------------------------------------------------------------- preloads
 
   /**
-   * Checks every preload against rules 3 (draining workers) and 5 (limited rate of preloads). A
-   * preload counts when it arrives, and it may wait for a connection first, so those sent up to a
-   * connect timeout before the window count as well. A preload for a silent worker might arrive
-   * seconds later, once the worker is reachable again.
+   * Checks every preload against two rules: a draining worker gets nothing new, and the number of
+   * preloads per window is limited. A preload counts when it arrives, and it may wait for a
+   * connection first, so those sent up to a connect timeout before the window count as well. A
+   * preload for a silent worker might arrive seconds later, once the worker is reachable again.
    */
   private boolean mayPreload(Worker worker) {
     LoadPolicy policy = settings.loadPolicy();
--- a/src/main/java/umberrun/consensus/VoterReplacement.java
+++ b/src/main/java/umberrun/consensus/VoterReplacement.java
@@ -18,7 +18,7 @@
  * at majorities of that set and of the previous one; then finish if it is the wanted set, or else
  * write the next one. A voter that has installed a set rejects requests of older ones, so no
  * replaced set can complete a majority any more when the next set is written. It uses no I/O,
- * threads or clocks; times are in microseconds.
+ * threads or clocks; times are in microseconds. The argument is in {@code docs/leases.md}.
  */
 public class VoterReplacement {
   /** Receives requests, register changes, timers and the result. */
--- a/src/main/java/umberrun/fleet/FleetShare.java
+++ b/src/main/java/umberrun/fleet/FleetShare.java
@@ -5,7 +5,8 @@
 /**
  * Computes the number by which each front end divides the resources that the fleet shares. The
  * shares of all front ends must never add up to more than the whole, even during a network
- * partition, so a dead member counts for as long as it may be alive on the other side of one.
+ * partition, so a dead member counts for as long as it may be alive on the other side of one. The
+ * design is described in {@code docs/fleet-view.md}.
  */
 final class FleetShare {
   /** A newcomer multiplies its divisor by this until every member has heard of it. */
--- a/src/main/java/umberrun/fleet/Membership.java
+++ b/src/main/java/umberrun/fleet/Membership.java
@@ -17,6 +17,8 @@
  * extensions. It uses no I/O, threads or clocks: the caller passes in the time, in microseconds of
  * a steady clock, and carries out the actions sent to the {@link MembershipOutbox}. The same calls
  * with the same random seed lead to the same view.
+ *
+ * <p>The design is described in {@code docs/fleet-view.md}.
  */
 public class Membership {
   /**
--- a/src/main/java/umberrun/lease/LeaseElector.java
+++ b/src/main/java/umberrun/lease/LeaseElector.java
@@ -13,7 +13,8 @@
  * <p>At most one front end may act at a time. A holder counts its lease from before it requested
  * the change, shortened by the clock drift bound. The others count it from when they first saw that
  * version, lengthened by the same bound, so the holder stops before anybody else takes the duty.
- * Each change applies only to the version that was seen, and each take raises the fence.
+ * Each change applies only to the version that was seen, and each take raises the fence. The
+ * argument is in {@code docs/leases.md}.
  */
 public class LeaseElector {
   /**
