--- a/src/main/java/saddlestall/AdaptiveDispatcher.java
+++ b/src/main/java/saddlestall/AdaptiveDispatcher.java
@@ -16,6 +16,11 @@
  * samples one. The weights are updated online, with latency as the negative reward and clipped
  * updates as in PPO. Times are in microseconds. Single-threaded; see {@link Dispatcher} for the
  * contract with the embedding front end.
+ *
+ * <p>Each function has an order of the workers, its home order. The first workers in it, as many as
+ * its demand needs, are its homes: its calls prefer them, so that few workers need a loaded copy.
+ *
+ * <p>Load reports, probe results and messages from peers are ignored.
  */
 public final class AdaptiveDispatcher extends DispatcherState implements Dispatcher {
 
@@ -770,7 +775,7 @@
 
   /**
    * Returns whether loading would take longer than the call has left. A copy that is only inferred
-   * or reported by peers does not count as loaded.
+   * from the demand does not count as loaded, nor does one that a peer reported with a low weight.
    */
   private boolean loadOutlastsCall(PendingCall call, Worker worker) {
     return loadedProbability(call.function, worker) <= MAX_INFERRED_PROBABILITY
@@ -1334,7 +1339,7 @@
     for (int hall = 0; hall < hallBenched.length; hall++) {
       boolean fails =
           failing[hall] >= MIN_HALL_FAILURES && failing[hall] > MIN_HALL_FAILURES * serving[hall];
-      // The only hall cannot be spared.
+      // If there is only one hall, no other could take its calls.
       if (!hallBenched[hall] && fails && total[hall] < readyWorkers.length) {
         hallBenched[hall] = true;
         hallNextTrialAt[hall] = now + MIN_TRIAL_WAIT_MICROS;
@@ -1351,10 +1356,10 @@
   }
 
   /**
-   * Sends a second attempt for a call whose only attempt is late, to a worker that certainly has a
-   * loaded copy, if the class allows it: a slow or silent worker or a lost answer should not cost
-   * the call its latency target. It wastes work where the call itself is long, so it is paid from
-   * the retry budget and is not done while calls are shed.
+   * Sends a second attempt for a call whose only attempt is late, to a worker that very probably
+   * has a loaded copy, if the class allows it: a slow or silent worker or a lost answer should not
+   * cost the call its latency target. It wastes work where the call itself is long, so it is paid
+   * from the retry budget and is not done while calls are shed.
    */
   private void hedge(Attempt attempt) {
     PendingCall call = attempt.call;
@@ -1515,7 +1520,8 @@
 
   /**
    * Decides whether to refuse an arriving call. While calls are shed, those with the least value
-   * for their work are refused, and those of tenants above their share first.
+   * for their work are refused. The value of a call in excess of its tenant's quota is multiplied
+   * by {@code overShareValueFactor}.
    */
   private boolean shouldShed(PendingCall call) {
     meanLatencyTarget += SLOW_MEAN_STEP * (call.callClass.latencyTarget() - meanLatencyTarget);
--- a/src/main/java/saddlestall/Dispatcher.java
+++ b/src/main/java/saddlestall/Dispatcher.java
@@ -28,7 +28,7 @@
    * @param frontEndIndex index of this front end
    * @param frontEndCount number of front ends, until a {@link FleetSizeUpdate} arrives
    * @param hall the hall of this front end
-   * @param overShareValueFactor factor on the value of calls of a tenant above its share
+   * @param overShareValueFactor factor on the value of a tenant's calls in excess of its quota
    * @param valueByWork whether the value of a call is given per unit of its work
    * @param subscribesToWorkerList whether the worker list is sent only after a {@link Subscribe}
    * @param weightKind what the ratings on the worker list mean
@@ -52,8 +52,8 @@
       Costs costs) {
 
     /**
-     * Returns a worker's capacity relative to the others: its rating, else the memory of its kind
-     * over the mean of all kinds, else 1.
+     * Returns a worker's capacity relative to the others: its rating if ratings are nominal or
+     * rough, else the memory of its kind over the mean of all kinds, else 1.
      */
     double relativeSize(WorkerEntry entry) {
       double memory = 1;
@@ -71,6 +71,7 @@
    * A class of calls.
    *
    * @param latencyTarget latency within which an answer has its full value
+   * @param latencyTargetStretch not read by {@link AdaptiveDispatcher}
    * @param timeout time after which the client gives up
    * @param dedupScope workers that drop repeats; for deduplicated classes only
    * @param dedupWindow how long they drop repeats; for deduplicated classes only
@@ -119,6 +120,7 @@
   /**
    * Parameters of the rules that the front end must keep. Durations are in microseconds.
    *
+   * @param answerSlack not read by {@link AdaptiveDispatcher}
    * @param drainGrace how long after the list reports a worker as draining it may still get calls
    * @param coldDuration how long a worker is cold after its start
    * @param initialColdCapacity share of its capacity that a cold worker has at its start
@@ -176,7 +178,10 @@
   /** Which values load reports hold, in order, and how the reports arrive. */
   record LoadReportFormat(ReportDelivery delivery, List<ReportField> fields) {}
 
-  /** Cost of each unit, in points of the result; used only to weigh optional actions. */
+  /**
+   * Cost of each unit, in points of the result, to weigh optional actions. {@link
+   * AdaptiveDispatcher} does not read them.
+   */
   record Costs(
       double probe,
       double crossZone,
@@ -199,7 +204,7 @@
     CELL
   }
 
-  /** What the rating of a worker on the list means. */
+  /** What the rating of a worker on the list means; see {@link Settings#relativeSize}. */
   enum WeightKind {
     SILENT,
     NOMINAL,
@@ -340,13 +345,17 @@
   enum OutcomeCode {
     OK(false),
     ERROR(false),
+    /** The worker rejected the attempt. */
     FULL(true),
     TIMEOUT(false),
+    /** The connection was not opened, or was lost before the attempt was written. */
     CONNECT_FAILED(true),
+    /** The connection was lost after the attempt was written. */
     RESET(false),
     CANCELLED(false),
     /** The attempt ended before a worker started it: never sent, or too late for the worker. */
     NOT_STARTED(true),
+    /** The worker had no loaded copy of the function, and did not run the attempt. */
     MISS(true);
 
     /** Whether the code proves that the attempt had no effect. */
--- a/src/main/java/saddlestall/DispatcherState.java
+++ b/src/main/java/saddlestall/DispatcherState.java
@@ -80,7 +80,7 @@
   /** Own loads in flight. */
   int loadsInFlight;
 
-  /** Limit on {@link #loadsInFlight}, adapted to the store. */
+  /** Limit on {@link #loadsInFlight}, adapted to the store that workers load functions from. */
   double loadLimit = Double.POSITIVE_INFINITY;
 
   long lastLoadFailureAt;
@@ -112,7 +112,7 @@
   /** Estimated calls per second of all front ends. */
   double fleetCallRate;
 
-  /** Mean latency of a warm call. */
+  /** Mean expected latency of a warm call. */
   double meanDuration;
 
   /** Offset in [0, 1) with which this front end rounds fractional home counts. */
@@ -139,10 +139,10 @@
   /** When a worker of a benched hall may next get a trial call, by hall index. */
   final long[] hallNextTrialAt = new long[MAX_HALLS];
 
-  /** Sum of latency over latency target of recent answers, decaying. */
+  /** Sum of latency over latency target of recent answers and rejections, decaying. */
   double pressureSum;
 
-  /** Number of recent answers, decaying. */
+  /** Number of these answers and rejections, decaying. */
   double pressureCount;
 
   double meanLatencyTarget;
@@ -237,8 +237,8 @@
   }
 
   /**
-   * Passes on what this front end observed itself, for its peers. What peers reported is left out,
-   * since they pass it on themselves.
+   * Passes on what this front end observed itself, for its peers. Copies that only peers have
+   * reported are left out, since the peers pass them on themselves.
    */
   public void exportObservations(long now, Consumer<Observation> facts) {
     for (Worker worker : workers.values()) {
@@ -271,7 +271,8 @@
 
   /**
    * Applies a peer's observation as a prior: it counts only where this front end has observed
-   * nothing itself, and until it does.
+   * nothing itself, and until it does. An observation of a worker also counts if it is more recent
+   * than the own ones.
    */
   void applyObservation(Observation observation, long now) {
     if (observation instanceof CopyObservation seen) {
@@ -399,10 +400,10 @@
     /** Class of its latest call. */
     int callClass;
 
-    /** When a call of it was last served; 0 if never. */
+    /** When a call of it was last served, here or as a peer reported; 0 if never. */
     long lastServedAt;
 
-    /** Own calls, decayed up to {@code lastCallAt}. */
+    /** Own calls, on top of those that a peer reported before, decayed to {@code lastCallAt}. */
     double recentCalls;
 
     long lastCallAt;
--- a/src/main/java/saddlestall/benchlink/FrameCodec.java
+++ b/src/main/java/saddlestall/benchlink/FrameCodec.java
@@ -264,7 +264,7 @@
 
   /**
    * Decodes an outcome. One of its fields holds the ordinal of the copy status in the lower three
-   * bits and the concurrency of the worker above them; outcomes other than OK and FULL report no
+   * bits and the concurrency of the copy above them; outcomes other than OK and FULL report no
    * concurrency.
    */
   private static AttemptOutcome attemptOutcome(ByteBuffer frame, int at) {
--- a/src/main/java/saddlestall/benchlink/Main.java
+++ b/src/main/java/saddlestall/benchlink/Main.java
@@ -16,7 +16,10 @@
 
   private Main() {}
 
-  /** Exits with 0 when the input ends, 1 if a frame cannot be decoded, 2 on wrong usage. */
+  /**
+   * Exits with 0 when the input ends, 1 if a frame cannot be decoded or on an I/O error, 2 on wrong
+   * usage.
+   */
   public static void main(String[] args) {
     if (args.length != 1 || !args[0].equals("benchlink")) {
       System.err.println("usage: java -jar umberrun.jar benchlink");
--- a/src/main/java/saddlestall/benchlink/SettingsJson.java
+++ b/src/main/java/saddlestall/benchlink/SettingsJson.java
@@ -22,7 +22,8 @@
 
 /**
  * Reads the settings of a front end from JSON. Unknown keys are ignored; an absent number is 0, an
- * absent flag false and an absent list empty. Times in JSON are in milliseconds.
+ * absent flag false and an absent list empty, but without {@code MostTries} the attempts of a call
+ * are not limited. Times in JSON are in milliseconds.
  */
 public final class SettingsJson {
   private SettingsJson() {}
@@ -191,7 +192,7 @@
     return value == null ? 0 : value.getAsDouble();
   }
 
-  /** Returns a time in microseconds; it stands in the JSON in milliseconds. */
+  /** Returns a time in microseconds; the JSON holds milliseconds. */
   private static long micros(JsonObject object, String key) {
     return Math.round(number(object, key) * 1000);
   }
--- a/src/main/java/umberrun/core/InvocationRegistry.java
+++ b/src/main/java/umberrun/core/InvocationRegistry.java
@@ -30,11 +30,11 @@
   /**
    * Limits of the registry.
    *
-   * @param queue deferred invocations that wait
-   * @param inFlight deferred invocations that run at once
-   * @param results completed invocations that are kept
-   * @param resultBytes total size of their results
-   * @param keepMillis how long a result is kept
+   * @param queue how many deferred invocations may wait
+   * @param inFlight how many deferred invocations run at once
+   * @param results how many completed invocations are kept
+   * @param resultBytes total size of their results in bytes
+   * @param keepMillis how long a result is kept, in milliseconds
    */
   public record Limits(int queue, int inFlight, int results, long resultBytes, long keepMillis) {}
 
@@ -74,7 +74,8 @@
   }
 
   /**
-   * Starts or queues an invocation, or joins the one that has the same idempotency key.
+   * Starts or queues an invocation, or joins the one that has the same idempotency key. Without
+   * room for it, the invocation returned already has its result, a refusal.
    *
    * @param client the owner of the key: equal keys of different clients are different
    * @throws KeyReused if the key was used for a different call
--- a/src/main/java/umberrun/core/Lifecycle.java
+++ b/src/main/java/umberrun/core/Lifecycle.java
@@ -6,7 +6,10 @@
  * one monotonic clock.
  */
 public final class Lifecycle {
-  /** The states. {@code LEAVING} and {@code HANDING_OVER} are final. */
+  /**
+   * The states. {@code LEAVING} is a shutdown without a successor, {@code HANDING_OVER} one with a
+   * successor at the same address; both are final.
+   */
   public enum State {
     STARTING,
     SERVING,
@@ -16,8 +19,8 @@
   }
 
   /**
-   * How long new connections may still come after a drain. The balancer in front of us polls health
-   * ten times a second and sends no new connections 0.2 s after a negative answer.
+   * How long new connections may still come after a drain. The balancer in front of this process
+   * polls health ten times a second and sends no new connections 0.2 s after a negative answer.
    */
   private static final long DRAIN_NOTICE_MICROS = 400_000;
 
@@ -30,7 +33,10 @@
    */
   private static final long DRAIN_ACCEPT_MICROS = 1_900_000;
 
-  /** How long after a drain connections that still send calls are closed, before those 4 s. */
+  /**
+   * How long after a drain connections that still send calls are closed, before the 4 s after which
+   * they count as a violation.
+   */
   private static final long DRAIN_CLOSE_MICROS = 3_200_000;
 
   /**
--- a/src/main/java/umberrun/core/Request.java
+++ b/src/main/java/umberrun/core/Request.java
@@ -31,8 +31,8 @@
    * Resource needs of the called function.
    *
    * @param lanes how many calls one copy runs at once
-   * @param memoryMb memory of a copy
-   * @param loadTime usual time to load a copy, in microseconds
+   * @param memoryMb memory of a copy in MB; 0 if not given
+   * @param loadTime usual time to load a copy, in microseconds; 0 if not given
    */
   public record ResourceHints(double lanes, double memoryMb, long loadTime) {
     /** The hints of a call that carries none. */
--- a/src/main/java/umberrun/core/Result.java
+++ b/src/main/java/umberrun/core/Result.java
@@ -14,6 +14,7 @@
   /**
    * Not run.
    *
+   * @param backoffMillis after how long a retry is best sent
    * @param overloaded whether it was refused at once for lack of room
    */
   record Refused(long backoffMillis, boolean overloaded) implements Result {}
--- a/src/main/java/umberrun/core/WorkerTransport.java
+++ b/src/main/java/umberrun/core/WorkerTransport.java
@@ -40,7 +40,7 @@
    *
    * @param concurrency the number of calls at the copy as the worker reported it, or -1
    * @param loadReport the load report of the worker, or null
-   * @param body the response, or null unless served
+   * @param body the body of the worker's reply, or null if there was none
    */
   record AttemptResult(
       OutcomeCode code, CopyStatus copyStatus, int concurrency, float[] loadReport, Buffer body) {
--- a/src/main/java/umberrun/discovery/WorkerLeases.java
+++ b/src/main/java/umberrun/discovery/WorkerLeases.java
@@ -239,6 +239,8 @@
    * place of the list that this process started with, which may be older. Does nothing once this
    * process has had a response of discovery itself.
    *
+   * @param remaining the remaining time of the leases in microseconds, by worker number
+   * @param now when {@code remaining} was recorded, which may be some time ago
    * @param initialResponseAt the time of the last response that this process knew by its
    *     configuration
    */
--- a/src/main/java/umberrun/worker/ReplyFields.java
+++ b/src/main/java/umberrun/worker/ReplyFields.java
@@ -24,7 +24,10 @@
     }
   }
 
-  /** Whether the call met a loaded copy of its function or caused or joined a load. */
+  /**
+   * Whether the call found a loaded copy of its function, or started or joined a load, or the load
+   * failed; {@code NONE} if the reply does not say.
+   */
   CopyStatus copyStatus() {
     return switch (values.getOrDefault("n", "")) {
       case "w" -> CopyStatus.WARM;
--- a/src/main/java/umberrun/worker/WorkerConnection.java
+++ b/src/main/java/umberrun/worker/WorkerConnection.java
@@ -24,8 +24,9 @@
   /** The owner of a connection. */
   interface Listener {
     /**
-     * Whether new work may still be written at {@code now}, in microseconds. False soon after the
-     * worker was told to drain, or once it has left the list.
+     * Whether new work may still be written at {@code now}, in microseconds. False once the worker
+     * must get nothing new because of a drain or suspension, its lease has ended, or it has left
+     * the list.
      */
     boolean mayStart(long now);
 
