--- a/src/main/java/umberrun/FleetAssembly.java
+++ b/src/main/java/umberrun/FleetAssembly.java
@@ -20,13 +20,18 @@
 
 /**
  * Assembles the features that several front ends share: fleet membership, leases on duties and
- * maintenance plans. It is created only if the operator's file enables the fleet, so that their
- * classes are not loaded otherwise.
+ * maintenance plans. It is created only if the operator's file enables the fleet; otherwise the
+ * classes of these features are not loaded.
  */
 final class FleetAssembly {
   private final FleetManager fleet;
+
+  /** The leases, or null if they are disabled. */
   private final LeaseManager leases;
+
+  /** The maintenance plans, or null if they are disabled. */
   private final WorksManager works;
+
   private final Lifecycle lifecycle;
 
   /**
--- a/src/main/java/umberrun/Server.java
+++ b/src/main/java/umberrun/Server.java
@@ -60,7 +60,7 @@
   private static final long LATE_REQUEST_MILLIS = 20;
 
   /**
-   * Extra time for a late machine to close the open connections at the very end. A supervisor that
+   * Extra time for a slow machine to close the open connections at the very end. A supervisor that
    * does not wait as long kills the process.
    */
   private static final long FINAL_CLOSE_MILLIS = 1_000;
@@ -86,17 +86,29 @@
 
   private final Clock clock = new Clock();
 
-  /** When this process was started; the events in the configuration were current then. */
+  /**
+   * When this process was started, in Unix microseconds; the events in the configuration were
+   * current then.
+   */
   private final long startedAt = clock.now() - processAge();
 
   private final Lifecycle lifecycle;
   private final ConnectionLimits connectionLimits;
   private final SingleLoopTransport transport = new SingleLoopTransport();
   private final Path sharedFolder;
+
+  /** The handover to and from other processes, or null if there is no shared folder. */
   private Handover handover;
+
+  /** The registration at Consul, or null if it is disabled. */
   private ConsulSource consul;
+
+  /** The features that front ends share, or null if the fleet is disabled. */
   private FleetAssembly fleet;
+
+  /** The timer of {@link #closeIdleConnections}, or -1 if it is not running. */
   private long closeIdleTimer = -1;
+
   private volatile boolean healthy;
   private Future<Void> factsFetched = Future.succeededFuture();
   private int operatorPort;
@@ -483,7 +495,10 @@
             });
   }
 
-  /** Opens the handover, and with it takes over the state of the process that this one replaces. */
+  /**
+   * Opens the handover, and with it takes over the suspensions of the process that this one
+   * replaces; {@link Handover#ready} takes over its facts and leases.
+   */
   private Future<Void> openHandover() {
     if (sharedFolder == null) {
       return Future.succeededFuture();
@@ -496,7 +511,11 @@
             });
   }
 
-  /** Halves the connection limits while two processes of this front end share them. */
+  /**
+   * Halves the connection limits while two processes of this front end share them.
+   *
+   * @param accompanied whether another process of this front end is alive
+   */
   private void share(boolean accompanied) {
     connectionLimits.shareAmong(accompanied ? 2 : 1);
     if (fleet != null) {
@@ -504,7 +523,10 @@
     }
   }
 
-  /** Carries out operator commands here and, if there is one, in the other process. */
+  /**
+   * Carries out operator commands. A suspension or its end takes effect in all processes of this
+   * front end, a drain in this process only.
+   */
   private final class LocalOperatorCommands implements OperatorServer.OperatorCommands {
     @Override
     public boolean isReady() {
--- a/src/main/java/umberrun/WarmUp.java
+++ b/src/main/java/umberrun/WarmUp.java
@@ -30,7 +30,7 @@
 /**
  * Runs the code paths of a call before the first call arrives, so that the JIT compiler has
  * compiled them by then. Without it, a front end on one core answers late during its first seconds.
- * The warm up has no effect on others: it uses a dispatcher that is discarded, and it requests
+ * The warm-up has no effect on others: it uses a dispatcher that is discarded, and it requests
  * heartbeats from this front end's own port.
  *
  * <p>Each path runs only a little more often than it takes for its methods to be compiled (200
@@ -141,7 +141,7 @@
    * Sends heartbeat requests to this front end's own port. Completes when enough are answered, and
    * at the latest after {@link #MAX_SOCKET_MILLIS}; it never fails.
    *
-   * @param address the port to connect to
+   * @param address the address of this front end's own listener
    */
   static Future<Void> sockets(Vertx vertx, SocketAddress address, int iterations) {
     Promise<Void> done = Promise.promise();
--- a/src/main/java/umberrun/admission/TokenBucket.java
+++ b/src/main/java/umberrun/admission/TokenBucket.java
@@ -1,8 +1,8 @@
 package umberrun.admission;
 
 /**
- * A token bucket that limits the rate of bytes sent to other front ends. Does no I/O; times are in
- * microseconds.
+ * A token bucket that limits the traffic with other front ends. Its unit is the byte, or the packet
+ * where it limits the rate of packets. Does no I/O; times are in microseconds.
  */
 public final class TokenBucket {
   private static final double MICROS_PER_SECOND = 1_000_000;
--- a/src/main/java/umberrun/cli/SimulateCommand.java
+++ b/src/main/java/umberrun/cli/SimulateCommand.java
@@ -90,7 +90,7 @@
     /** One in this many members is killed and started again. */
     private static final int KILL_STEP = 3;
 
-    /** Turns off the slow member in {@link FleetSimulation#slow}. */
+    /** Passed to {@link FleetSimulation#setSlowNode} if no member is to be slow. */
     private static final int NO_MEMBER = -1;
 
     @Spec private CommandSpec spec;
@@ -186,7 +186,7 @@
     /** The times of the samples for the plot, in seconds of virtual time. */
     private final List<Double> sampleTimes = new ArrayList<>();
 
-    /** The mean number of members that the living members hold living, at each sample. */
+    /** The mean number of members that the living members consider alive, at each sample. */
     private final List<Double> meanLivingCounts = new ArrayList<>();
 
     private FleetSimulation simulation;
--- a/src/main/java/umberrun/cli/WorksCommand.java
+++ b/src/main/java/umberrun/cli/WorksCommand.java
@@ -44,7 +44,7 @@
 final class WorksCommand implements Runnable {
   private static final long WATCH_INTERVAL_MILLIS = 1_000;
 
-  /** How many of the latest trail entries are printed. */
+  /** How many of the latest entries of the audit trail are printed. */
   private static final int PRINTED_TRAIL_ENTRIES = 8;
 
   @Spec private CommandSpec spec;
@@ -283,7 +283,7 @@
     }
   }
 
-  /** Prints the plans, the state of their machines and the end of the trail. */
+  /** Prints the plans, the state of their machines and the end of the audit trail. */
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
@@ -436,7 +436,7 @@
     }
   }
 
-  /** Removes a front end from the roll. */
+  /** Removes a front end that will not come back; machines no longer wait for its confirmation. */
   @Command(
       name = "strike",
       mixinStandardHelpOptions = true,
--- a/src/main/java/umberrun/config/FleetOptions.java
+++ b/src/main/java/umberrun/config/FleetOptions.java
@@ -21,7 +21,7 @@
  * @param via by the address of a member, another address to reach it by, for example a gateway
  * @param consul whether other members are also looked up in Consul, as instances of the same
  *     service
- * @param release release of this front end, shown to the other members
+ * @param release release of this front end, shown to the other members; may be empty
  * @param intervalMillis time between two probes of other members
  * @param timeoutMillis how long the answer to a direct probe is awaited
  * @param exchangeMillis time between two full exchanges of the membership state
--- a/src/main/java/umberrun/config/LeaseOptions.java
+++ b/src/main/java/umberrun/config/LeaseOptions.java
@@ -20,7 +20,8 @@
  * @param pauseMillis added to the time that others wait before they take over an expired lease
  * @param probeMillis time between two probes of a worker by the front end that holds the duty of
  *     its hall, 0 if there is no such duty
- * @param beacon where the holder of the duty {@code beacon} reports, or null
+ * @param beacon address that the holder of the duty {@code beacon} reports to, or null if there is
+ *     no such duty
  * @param beaconMillis time between two reports
  */
 public record LeaseOptions(
--- a/src/main/java/umberrun/config/WorksOptions.java
+++ b/src/main/java/umberrun/config/WorksOptions.java
@@ -7,7 +7,8 @@
 /**
  * The optional section {@code works} of the operator's file: maintenance plans for worker machines.
  *
- * @param startMillis how long a starting front end waits to read which machines are suspended
+ * @param startMillis how long a starting front end waits at most to read which machines are
+ *     suspended
  * @param recoveryMillis a stopped plan goes on after this time without a disturbance
  * @param moveTimeoutMillis how long the move of last copies off a machine is awaited
  * @param trafficJumpFactor plans stop when the traffic exceeds its mean by this factor
--- a/src/main/java/umberrun/front/invoke/InvokeServer.java
+++ b/src/main/java/umberrun/front/invoke/InvokeServer.java
@@ -129,7 +129,10 @@
     return server.listen(address).map(HttpServer::actualPort);
   }
 
-  /** During a drain, closes each connection as soon as no request is open on it. */
+  /**
+   * During a drain, closes each connection as soon as no request is open on it, and after {@link
+   * #MAX_POLL_MILLIS} in any case.
+   */
   public void closeIdleConnections() {
     if (lifecycle.closesIdleConnections(clock.now())) {
       List.copyOf(connections)
@@ -137,7 +140,10 @@
     }
   }
 
-  /** Closes each connection once its current request is complete and answered. */
+  /**
+   * Closes each connection once its current request is complete and answered, and all connections
+   * after {@link #REQUEST_TIMEOUT_MILLIS}.
+   */
   public Future<Void> closeConnections() {
     return server.shutdown(REQUEST_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
   }
@@ -374,7 +380,12 @@
     }
   }
 
-  /** Answers with the result if it is available within the wait, otherwise with its location. */
+  /**
+   * Answers with the result if it is available within the wait, otherwise with its location. A
+   * deferred call submitted without a wait is always answered with the location.
+   *
+   * @param waitMillis 0 or less for no wait
+   */
   private void poll(HttpServerRequest request, Invocation invocation, long waitMillis) {
     boolean collectsResult = request.method().equals(HttpMethod.GET);
     if (waitMillis <= 0 && (invocation.result() == null || !collectsResult)) {
--- a/src/main/java/umberrun/front/rpc/RpcConnection.java
+++ b/src/main/java/umberrun/front/rpc/RpcConnection.java
@@ -42,6 +42,8 @@
   private final RpcDecoder decoder = new RpcDecoder(this::handleMessage);
   private final Map<Long, Call> openCalls = new HashMap<>();
   private final long openedAt;
+
+  /** When the last call arrived, in Unix microseconds; 0 if there was none. */
   private long lastCallAt;
 
   /** Whether a complete message has been received. */
@@ -83,8 +85,8 @@
   }
 
   /**
-   * Whether closing the connection loses nothing: no request is open or partly received, and no
-   * answer waits to be sent.
+   * Whether the connection counts as idle, so that closing it loses no call: no request is open or
+   * partly received, and the write queue is not full. Fewer bytes may still wait to be sent.
    */
   boolean isIdle() {
     return openCalls.isEmpty() && !decoder.isMidMessage() && !socket.writeQueueFull();
--- a/src/main/java/umberrun/front/rpc/RpcServer.java
+++ b/src/main/java/umberrun/front/rpc/RpcServer.java
@@ -126,7 +126,10 @@
     List.copyOf(connections).forEach(RpcConnection::shutDownIfDue);
   }
 
-  /** Runs an action once there are no connections: immediately, or when the last one closes. */
+  /**
+   * Runs an action once there are no connections: immediately, or when the last one closes. It runs
+   * again if connections are admitted after that and the last of them closes.
+   */
   public void whenEmpty(Runnable action) {
     whenEmpty = action;
     if (connections.isEmpty()) {
@@ -238,8 +241,8 @@
   }
 
   /**
-   * Updates whether a connection counts as idle, after it sent a complete message or a request of
-   * it was answered.
+   * Updates whether a connection counts as idle, after a complete message of its client arrived or
+   * one of its requests was answered.
    */
   void updateIdle(RpcConnection connection) {
     silent.remove(connection);
--- a/src/main/java/umberrun/handover/Handover.java
+++ b/src/main/java/umberrun/handover/Handover.java
@@ -63,6 +63,7 @@
   /** Whether another process of this front end is alive. */
   private boolean accompanied;
 
+  /** When the facts were last written, in Unix microseconds; 0 if they were not. */
   private long factsWrittenAt;
 
   /**
@@ -117,8 +118,9 @@
   /**
    * The folder that the processes of one front end share. The first process marks it with its
    * deployment, so that it is not shared with a front end of the same name of another customer,
-   * whose suspensions, facts and plans do not apply. A folder without a mark was created by a
-   * version that did not write one.
+   * whose suspensions, facts and plans do not apply. If the folder has the mark of another
+   * deployment, the result is a folder with this deployment in its name. A folder without a mark
+   * was created by a version that did not write one; it is marked and used.
    */
   public static Path folder(Path temporary, String name, String deployment) throws IOException {
     Path folder = Files.createDirectories(temporary.resolve("umberrun-" + name));
--- a/src/main/java/umberrun/handover/HandoverStore.java
+++ b/src/main/java/umberrun/handover/HandoverStore.java
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Reads the state. A missing, oversized, torn or otherwise unusable file counts as an empty
-   * state, so that it cannot prevent the start.
+   * Reads the state. A missing, oversized, partly written or otherwise unusable file counts as an
+   * empty state, so that it cannot prevent the start.
    */
   SuspensionState read() {
     lastSeen = fileStamp();
--- a/src/main/java/umberrun/learning/Fact.java
+++ b/src/main/java/umberrun/learning/Fact.java
@@ -8,14 +8,17 @@
  * @param subject what was observed
  * @param value the observed value; its meaning depends on the kind of the subject
  * @param origin identifier of the front end that made the observation, with its incarnation
- * @param seenAt time of the observation on the monotonic clock of this machine, in microseconds; it
- *     may be earlier than the real time but never later
+ * @param seenAt time of the observation in Unix microseconds on the clock of this process; it may
+ *     be earlier than the real time but never later
  */
 public record Fact(Subject subject, Value value, String origin, long seenAt) {
   /** Kinds of facts; each has its own half-life. */
   public enum Kind {
+    /** A copy of a function was loaded at a worker. */
     COPY,
+    /** The health of a worker. */
     WORKER,
+    /** What a function needs and how often it is called. */
     FUNCTION
   }
 
@@ -29,8 +32,8 @@
 
   /**
    * Up to four numbers. A copy has none, as the fact itself says that the copy was loaded. A worker
-   * has its latency ratio and failure rate. A function has its class, lanes, load time and number
-   * of recent calls.
+   * has its latency ratio and failure rate. A function has its class, lanes, load time in
+   * microseconds and number of recent calls. Unused numbers are 0.
    */
   public record Value(double a, double b, double c, double d) implements Comparable<Value> {
     private static final Comparator<Value> ORDER =
--- a/src/main/java/umberrun/learning/FactFilter.java
+++ b/src/main/java/umberrun/learning/FactFilter.java
@@ -11,8 +11,8 @@
   /**
    * The status of a worker according to this front end's own worker list and suspensions.
    *
-   * @param startedAt when the worker last started according to the list, in microseconds on the
-   *     monotonic clock, or 0 if it started long ago
+   * @param startedAt when the worker last started according to the list or was last resumed, in
+   *     Unix microseconds, or 0 if that is long ago
    */
   public record WorkerStatus(WorkerState state, long startedAt) {}
 
@@ -34,7 +34,8 @@
    * Returns whether a fact may be used.
    *
    * @param status the status of the worker that the fact is about, or null if the worker list does
-   *     not contain it
+   *     not contain it or the fact is about a function
+   * @param now the current time in Unix microseconds
    */
   public boolean admits(Fact fact, WorkerStatus status, long now) {
     if (now - fact.seenAt() > maxAge) {
--- a/src/main/java/umberrun/learning/FactHalfLife.java
+++ b/src/main/java/umberrun/learning/FactHalfLife.java
@@ -51,7 +51,7 @@
    */
   public void record(Kind kind, long age, boolean confirmed) {
     Tally tally = tallies.get(kind);
-    // The lower bound keeps a series of confirmed facts from making the half-life endless.
+    // The lower bound keeps the half-life from growing without limit while all facts are confirmed.
     double minRefuted = PRIOR_WEIGHT * MIN_REFUTED_SHARE;
     tally.refuted = Math.max(minRefuted, DECAY_FACTOR * tally.refuted + (confirmed ? 0 : 1));
     tally.totalAge = DECAY_FACTOR * tally.totalAge + Math.max(1, age);
--- a/src/main/java/umberrun/learning/FactPage.java
+++ b/src/main/java/umberrun/learning/FactPage.java
@@ -13,7 +13,7 @@
 
 /**
  * A page of facts sent to another front end. It contains ages instead of times, as the clocks of
- * the machines are not comparable, and it is either read completely or rejected.
+ * the machines are not comparable, and a malformed page is rejected as a whole.
  *
  * @param epoch incarnation of the front end that sent the page; the start of the next page is valid
  *     for this incarnation only
@@ -88,8 +88,9 @@
   }
 
   /**
-   * Parses a page. Unknown fields are ignored, and so are facts of an unknown kind or with values
-   * out of range. A page with a field that is missing or of the wrong type is rejected.
+   * Parses a page. Unknown fields are ignored, and so are facts with too few fields, of an unknown
+   * kind or with values out of range. A page that lacks a field of its own, or in which a field has
+   * the wrong type, is rejected.
    *
    * @param now when the page arrived, in microseconds
    * @param elapsed how long ago the page may have been written, in microseconds
@@ -122,7 +123,7 @@
     }
   }
 
-  /** Parses a fact; null if it is of an unknown kind or has values out of range. */
+  /** Parses a fact; null if it has too few fields, is of an unknown kind or is out of range. */
   private static Fact fromJson(JsonElement element, long writtenAt) {
     if (!(element instanceof JsonArray fields) || fields.size() < FIELD_COUNT) {
       return null;
--- a/src/main/java/umberrun/learning/FactStore.java
+++ b/src/main/java/umberrun/learning/FactStore.java
@@ -25,7 +25,10 @@
     this.maxFacts = maxFacts;
   }
 
-  /** Adds a fact. Returns whether it is newer than what was known of its subject. */
+  /**
+   * Adds a fact. Returns whether it was added: false if a later fact about its subject is known, or
+   * if a number is not finite.
+   */
   public boolean merge(Fact fact) {
     // Invalid numbers from a faulty peer must not reach the dispatcher.
     if (!fact.value().isFinite()) {
@@ -42,7 +45,7 @@
     return true;
   }
 
-  /** Removes the oldest quarter at once, so that one sort pays for many new facts. */
+  /** Removes the oldest quarter at once, so that not every new fact costs a sort. */
   private void prune() {
     List<Fact> oldestFirst = new ArrayList<>(facts.values());
     oldestFirst.sort(Comparator.comparingLong(Fact::seenAt));
--- a/src/main/java/umberrun/learning/net/FactClient.java
+++ b/src/main/java/umberrun/learning/net/FactClient.java
@@ -26,8 +26,9 @@
 import umberrun.stats.Counters.Count;
 
 /**
- * Fetches facts from running front ends before this one reports itself as ready. The fetching ends
+ * Fetches facts from running front ends before this one reports itself as ready. This fetching ends
  * at a fixed deadline, whether peers are silent, slow, send data without end or send invalid data.
+ * After the start, new facts are fetched a few times from the best peer.
  */
 public final class FactClient {
   /**
--- a/src/main/java/umberrun/learning/net/FactExchange.java
+++ b/src/main/java/umberrun/learning/net/FactExchange.java
@@ -14,8 +14,11 @@
   /**
    * Formats one page of facts; see {@link FactPage#write}.
    *
+   * @param epoch incarnation of this front end
+   * @param uptime how long this front end has been running, in microseconds
    * @param from index of the first fact of the page
    * @param maxBytes size limit of the page
+   * @param now the current time, in microseconds
    */
   public static String writePage(
       String epoch, long uptime, List<Fact> facts, int from, int maxBytes, long now) {
--- a/src/main/java/umberrun/stats/Counters.java
+++ b/src/main/java/umberrun/stats/Counters.java
@@ -15,6 +15,7 @@
    * interface and must not change; the order of the constants is the order of printing.
    */
   public enum Count {
+    /** Calls submitted to the dispatch loop. */
     CALLS_TAKEN,
     CALLS_SERVED,
     CALLS_REFUSED,
@@ -29,6 +30,7 @@
     CALLS_UNATTENDED,
     /** Calls ended by the dispatch loop because the dispatcher left them without an answer. */
     CALLS_WITHOUT_DECISION("calls_guarded"),
+    /** Client requests that were malformed or invalid, including those with an unknown path. */
     BAD_REQUESTS,
     ATTEMPTS_SENT,
     /** From here to {@code ATTEMPTS_CANCELLED}: attempts by outcome code of the dispatcher. */
@@ -44,22 +46,31 @@
     /** Orders to a worker to load a copy of a function. */
     PRELOADS_SENT("orders_sent"),
     PROBES_SENT,
+    /** Never incremented; printed because printed names must not change. */
     LATE_ANSWERS,
     CLIENT_CONNECTIONS,
     /** Client connections closed to admit a new one. */
     CLIENTS_DISPLACED,
     WORKER_CONNECTIONS,
+    /** Updates received from a source of the worker list. */
     LIST_CHANGES,
     /** Entries of the worker list that could not be parsed. */
     WORKER_ENTRIES_UNREADABLE("lines_unreadable"),
     /** Polls of the worker list that failed and are repeated. */
     POLLS_FAILED("polls_lost"),
+    /** Polls of the worker list that were late, so that another one was started beside them. */
     POLLS_LATE,
+    /** Times the discovery server became unreachable. */
     DISCOVERY_LOST,
+    /** Times a worker could no longer be sent work because its lease ended. */
     WORKERS_HELD_BACK,
+    /** Times a worker that was held back could be sent work again. */
     WORKERS_RELEASED,
+    /** New work that was failed without being written, as the worker may no longer be sent any. */
     SENDS_WITHHELD,
+    /** Times the configuration was read again and accepted. */
     CONFIGS_TAKEN,
+    /** Times the configuration was read again and rejected. */
     CONFIGS_REFUSED,
     /** Steps of the dispatch loop that ended with an exception. */
     DISPATCH_LOOP_EXCEPTIONS("module_faults"),
@@ -77,41 +88,63 @@
     BUSY_CLIENTS_CLOSED("clients_cut"),
     /** Answers replaced by a failure because too many bytes already waited for slow clients. */
     ANSWERS_DROPPED("answers_left_out"),
+    /** Received facts that were passed to the dispatcher. */
     FACTS_USED,
+    /** Pages of facts requested from other front ends. */
     PAGES_ASKED,
+    /** Requested pages of facts that were received and could be parsed. */
     PAGES_USED,
     FACT_PAGES_SERVED("pages_given"),
+    /** Requests for facts refused because the budget was used up or the event loop was late. */
     PAGES_REFUSED,
     FLEET_PACKETS_SENT,
+    /** Datagrams of other members that were decoded. */
     FLEET_PACKETS_TAKEN,
+    /** Messages to or from other members dropped because of a limit or an error. */
     FLEET_PACKETS_DROPPED,
+    /** Messages of other members that could not be decoded. */
     FLEET_UNREADABLE,
     /** Messages of another fleet. */
     FLEET_FOREIGN,
+    /** Full exchanges of the membership state that this process began. */
     FLEET_EXCHANGES,
+    /** Changes of the membership that this process learned of. */
     FLEET_CHANGES,
+    /** Times another process used the name of this member, or this one gave up its name to it. */
     FLEET_CLASHES,
     /** Times this process learned that another member suspects it. */
     SELF_SUSPECTED("fleet_accused"),
+    /** Consensus requests that this process answered as a voter. */
     VOTES,
     /** Writes of votes to the voter's disk. */
     VOTE_SYNCS,
+    /** Leases on duties that this process acquired. */
     LEASES_TAKEN,
+    /** Leases on duties that this process released. */
     LEASES_GIVEN_BACK,
+    /** Leases on duties that this process lost for another reason. */
     LEASES_LOST,
     /** Actions that this process took as holder of a lease. */
     LEASE_ACTS,
     /** Actions refused because of an outdated fence. */
     FENCED_ACTIONS_REJECTED("acts_refused"),
+    /** Messages with health readings of workers that this process published. */
     READINGS_SENT,
+    /** Messages with health readings that were accepted, including those of this process. */
     READINGS_RECEIVED("readings_taken"),
+    /** Changes of the maintenance plans that were not refused. */
     WORKS_STEPS,
+    /** Changes of the maintenance plans that were refused. */
     WORKS_REFUSED,
+    /** Reports on the maintenance plans that this process sent to the other members. */
     WORKS_REPORTS,
+    /** Moves of last copies that this process requested while it executed the plans. */
     WORKS_MOVES,
+    /** Deferred invocations that were accepted. */
     DEFERRED_TAKEN,
     /** Repeated calls attached to the invocation with the same idempotency key. */
     DEFERRED_JOINED,
+    /** Deferred or keyed invocations refused because the registry was full. */
     DEFERRED_REFUSED("deferred_turned_away");
 
     private final String printedName;
