--- a/src/main/java/umberrun/consensus/ConsensusMessage.java
+++ b/src/main/java/umberrun/consensus/ConsensusMessage.java
@@ -65,8 +65,8 @@
    *
    * @param createStore whether it is to create a new store, unless it must keep the one it has
    * @param asOf the newest set that the requester knows
-   * @param names of the first set, sorted, while there is no set yet; the front end rejects the
-   *     query if its own configuration names others. Empty otherwise.
+   * @param names of the front ends of the first set, sorted, in the query of a bootstrap; the front
+   *     end rejects the query if its own configuration names others. Empty in any other query.
    */
   record VoterQuery(long op, boolean createStore, VoterSet asOf, List<String> names)
       implements ConsensusMessage {}
@@ -76,7 +76,7 @@
    *
    * @param key of its voter, empty if it has no usable store
    * @param known the newest set that it knows
-   * @param fault why it has no usable store or did not create one, empty if there is no fault
+   * @param fault why it cannot become a voter as asked, empty if there is no such reason
    */
   record VoterDescription(long op, String key, VoterSet known, String fault)
       implements ConsensusMessage {}
--- a/src/main/java/umberrun/consensus/Voter.java
+++ b/src/main/java/umberrun/consensus/Voter.java
@@ -37,7 +37,7 @@
    * A response and the change that must be on disk, along with all earlier changes, before it is
    * sent.
    *
-   * @param answer the response
+   * @param answer the response; null in {@link EpochVoter#initialSlot}
    * @param register name of the slot
    * @param slot the new state of the register, null if nothing has changed
    */
--- a/src/main/java/umberrun/consensus/net/ConsensusCodec.java
+++ b/src/main/java/umberrun/consensus/net/ConsensusCodec.java
@@ -15,8 +15,8 @@
 import umberrun.consensus.VoterSet;
 
 /**
- * Encodes consensus messages as MessagePack arrays, with fields by position. Later versions append
- * fields at the end.
+ * Encodes consensus messages as MessagePack arrays, with fields by position. Later versions may
+ * append fields to the envelope; the array with the fields of the message always has four elements.
  */
 final class ConsensusCodec {
   /**
--- a/src/main/java/umberrun/consensus/net/RegisterManager.java
+++ b/src/main/java/umberrun/consensus/net/RegisterManager.java
@@ -86,7 +86,7 @@
     /**
      * Reads a register.
      *
-     * @param deadline when the read is given up
+     * @param deadline when the read is given up, in microseconds of the {@link Clock}
      * @param onResult receives the value, or null if no majority responded in time
      */
     public void read(String register, long deadline, Consumer<RegisterValue> onResult) {
@@ -96,7 +96,7 @@
     /**
      * Changes a register.
      *
-     * @param deadline when the change is given up
+     * @param deadline when the change is given up, in microseconds of the {@link Clock}
      * @param onResult receives the value after the change, or null if it is unknown whether it was
      *     made
      */
@@ -241,7 +241,7 @@
     return knownVoters;
   }
 
-  /** Whether the voter of this front end is in that set. */
+  /** Whether the voter of this front end is in the newest voter set that it knows. */
   public boolean isVoter() {
     return localVoter != null && knownVoters.keys().contains(localVoter.key());
   }
@@ -272,8 +272,8 @@
   }
 
   /**
-   * Completes a replacement whose command died: a voter that sees no progress between two checks
-   * resumes it.
+   * Completes a replacement that another process began and did not finish: a voter that sees no
+   * progress between two checks resumes it.
    */
   private void scheduleResumeCheck() {
     long checkedEpoch = knownVoters.epoch();
--- a/src/main/java/umberrun/consensus/sim/RegisterSimulation.java
+++ b/src/main/java/umberrun/consensus/sim/RegisterSimulation.java
@@ -150,7 +150,10 @@
   /** A host: a voter with its disk if it has a store, two clients, and an operator command. */
   private final class Host {
     final int number;
+
+    /** Null while the host has no store; it does not vote then. */
     String key;
+
     final Map<String, Voter.Slot> storedSlots = new TreeMap<>();
     final Map<String, Voter.Slot> unsyncedSlots = new TreeMap<>();
     EpochVoter voter;
--- a/src/main/java/umberrun/fleet/FleetShare.java
+++ b/src/main/java/umberrun/fleet/FleetShare.java
@@ -46,7 +46,10 @@
       boolean joinedDuringPartition,
       boolean informed) {}
 
-  /** Counts the front ends, this one and those that may be alive included. */
+  /**
+   * Counts the front ends, this one and those that may be alive included. While this one is not
+   * informed, the result is at least the configured number.
+   */
   static double count(
       MembershipSettings settings, Collection<Peer> peers, long now, LocalState local) {
     int counted = 1;
--- a/src/main/java/umberrun/fleet/GossipMessage.java
+++ b/src/main/java/umberrun/fleet/GossipMessage.java
@@ -5,8 +5,10 @@
 /**
  * A datagram of the membership protocol.
  *
- * @param seq the sequence number of a probe; a response repeats it
- * @param target the name of the probed member
+ * @param seq the sequence number of a probe; a response repeats it. 0 in a ping that only carries
+ *     claims
+ * @param target the name of the probed member; in that member's own ACK the name of the receiver,
+ *     in a NAME_CONFLICT the shared name
  * @param targetAddress the address of the target in a {@link Kind#PING_REQUEST}; empty otherwise
  * @param sender the sender's claim about itself
  * @param gossip claims piggybacked on the message
--- a/src/main/java/umberrun/fleet/Membership.java
+++ b/src/main/java/umberrun/fleet/Membership.java
@@ -345,7 +345,10 @@
     return self;
   }
 
-  /** All other members, including dead ones and those that left. */
+  /**
+   * All other members, including dead ones and those that left. While this process has given up its
+   * name, the new owner of the name is among them.
+   */
   public Collection<Peer> peers() {
     return Collections.unmodifiableCollection(peers.values());
   }
@@ -376,7 +379,8 @@
   }
 
   /**
-   * The number of front ends, including those that may be alive on the other side of a partition.
+   * The number of front ends, including those that may be alive on the other side of a partition;
+   * at least the configured number until this member is informed.
    */
   public double frontEndCount(long now) {
     return FleetShare.count(settings, peers.values(), now, localState());
--- a/src/main/java/umberrun/fleet/MembershipOutbox.java
+++ b/src/main/java/umberrun/fleet/MembershipOutbox.java
@@ -13,7 +13,11 @@
    */
   void exchange(String address);
 
-  /** Starts a timer; it replaces a running timer of the same kind and subject. */
+  /**
+   * Starts a timer; it replaces a running timer of the same kind and subject.
+   *
+   * @param at when it is due, in microseconds of this member's steady clock
+   */
   void startTimer(MembershipTimer timer, long at);
 
   void cancelTimer(MembershipTimer timer);
--- a/src/main/java/umberrun/fleet/Peer.java
+++ b/src/main/java/umberrun/fleet/Peer.java
@@ -41,7 +41,7 @@
     return lastHeardAt;
   }
 
-  /** The duration of the last direct probe, in microseconds. */
+  /** The duration of the last direct probe that was answered, in microseconds; 0 before one. */
   public long roundTrip() {
     return roundTrip;
   }
--- a/src/main/java/umberrun/fleet/net/FleetCodec.java
+++ b/src/main/java/umberrun/fleet/net/FleetCodec.java
@@ -80,9 +80,10 @@
   /** The kind code of a topic message, in the place where datagrams and frames have their kind. */
   private static final int TOPIC_MESSAGE_KIND = 64;
 
+  /** The most claims that are decoded from one datagram or frame; more make it undecodable. */
   private static final int MAX_CLAIMS = 256;
 
-  /** Keeps incarnations and ages from a faulty sender from overflowing later. */
+  /** Bounds incarnations and ages, so that those of a faulty sender do not overflow later. */
   private static final long MAX_NUMBER = 1L << 52;
 
   /** Keeps the generation number, which is an int, from overflowing. */
--- a/src/main/java/umberrun/fleet/net/FleetManager.java
+++ b/src/main/java/umberrun/fleet/net/FleetManager.java
@@ -191,7 +191,7 @@
   }
 
   /**
-   * Starts to bind the address, in the background until it is free, and then joins the fleet.
+   * Binds the address in the background, retrying until it is free, and then joins the fleet.
    *
    * @param consul the catalogue in which this member is registered and others are found, or null
    */
@@ -338,8 +338,9 @@
   // ---------------------------------------------------------------- facts and departure
 
   /**
-   * Returns the fact addresses of the living members, those of the own hall first. The future
-   * completes at the first contact with another member, at the latest after a short timeout.
+   * Returns the fact addresses of the members that are alive and not suspected, those of the own
+   * hall first; empty while the transport does not listen. The future completes at the first
+   * contact with another member, at the latest after a short timeout.
    */
   public Future<List<SocketAddress>> factPeers() {
     long timer = vertx.setTimer(FIRST_CONTACT_TIMEOUT_MILLIS, t -> firstContact.tryComplete());
--- a/src/main/java/umberrun/fleet/sim/FleetSimulation.java
+++ b/src/main/java/umberrun/fleet/sim/FleetSimulation.java
@@ -389,14 +389,14 @@
   }
 
   /**
-   * Whether the views of all running members agree: they contain exactly the running members as
-   * living, unsuspected, and with the latest claims of these.
+   * Whether the views of all running members that are not paused agree: they contain exactly the
+   * running members as living, unsuspected, and with the latest claims of these.
    */
   public boolean isSettled() {
     return disagreement() == null;
   }
 
-  /** Whether each running member counts the right number of others. */
+  /** Whether each running member that is not paused counts the right number of others. */
   public boolean hasCorrectCounts() {
     long living = Arrays.stream(nodes).filter(n -> n.process != null).count();
     return Arrays.stream(nodes)
--- a/src/main/java/umberrun/lease/HallHealthMonitor.java
+++ b/src/main/java/umberrun/lease/HallHealthMonitor.java
@@ -18,7 +18,7 @@
    * Health of a worker as of its last probe.
    *
    * @param worker name of the worker
-   * @param latencyRatio its probe latency over the median of the hall; 1 unless it is slow
+   * @param latencyRatio its average probe latency over the median of the hall; 1 unless it is slow
    * @param failureRate share of failures: 1 if the worker is failing, else 0
    * @param seenAt when the probe was sent; the reading is never older than this
    */
--- a/src/main/java/umberrun/lease/LeaseElector.java
+++ b/src/main/java/umberrun/lease/LeaseElector.java
@@ -46,7 +46,11 @@
     /** Starts the only timer, replacing the one before. */
     void startTimer(long at);
 
-    /** The duty is now held under this fence, or no longer held (-1). */
+    /**
+     * The duty is now held under this fence, or no longer held (-1).
+     *
+     * @param cause a short text for the event log; "given back" if this front end gave it up
+     */
     void onFenceChange(long fence, String cause);
   }
 
--- a/src/main/java/umberrun/lease/net/DutyRunner.java
+++ b/src/main/java/umberrun/lease/net/DutyRunner.java
@@ -51,10 +51,16 @@
   private final DutyTask task;
   private final Consumer<Boolean> onHolderChange;
   private long timer = -1;
+
+  /** -1 while the duty is not held. */
   private long fence = -1;
+
   private long fenceChangedAt;
 
-  /** After a release on request this front end leaves the duty to others until then. */
+  /**
+   * Until when this front end leaves the duty to others after a release on request, in microseconds
+   * of the clock.
+   */
   private long ineligibleUntil;
 
   private boolean eligible;
--- a/src/main/java/umberrun/lease/net/LeaseManager.java
+++ b/src/main/java/umberrun/lease/net/LeaseManager.java
@@ -63,7 +63,10 @@
   private static final long LEAVE_TIMEOUT_MILLIS = 400;
   private static final long MICROS_PER_MILLI = 1_000;
 
-  /** Number of living members that are asked for the current voters. */
+  /**
+   * Number of members, drawn at random, that are asked for the current voters. Dead ones may be
+   * among them.
+   */
   private static final int MAX_VOTER_QUERY_MEMBERS = 2;
 
   /**
@@ -503,7 +506,7 @@
     }
   }
 
-  /** Starts a command that goes on in the background, and answers with the status by then. */
+  /** Starts a command that goes on in the background, and answers with the status as of now. */
   private Future<String> startCommand(Runnable command) {
     command.run();
     return Future.succeededFuture(registers.status().toString());
--- a/src/main/java/umberrun/lease/sim/LeaseSimulation.java
+++ b/src/main/java/umberrun/lease/sim/LeaseSimulation.java
@@ -16,8 +16,9 @@
 
 /**
  * Simulation of one duty on the virtual network: voters with disks, and electors whose clocks run
- * at different rates. Checked after each step: at most one elector may act at any true time, and
- * the receiver of the acts accepts none of a lower fence after one of a higher fence.
+ * at different rates. Checked after each step: at most one elector may act at any time of the
+ * network's clock, and the receiver of the acts accepts none of a lower fence after one of a higher
+ * fence.
  */
 public final class LeaseSimulation {
   /** Creates electors; tests pass factories of deliberately faulty ones. */
--- a/src/main/java/umberrun/sim/VirtualNetwork.java
+++ b/src/main/java/umberrun/sim/VirtualNetwork.java
@@ -47,7 +47,7 @@
   /** Messages that arrived at each machine while it was paused. */
   private final Deque<Runnable>[] buffered;
 
-  /** Timers that ended at each machine while it was paused. */
+  /** Timers that expired at each machine while it was paused. */
   private final Deque<Runnable>[] overdueTimers;
 
   private final boolean[] paused;
@@ -199,7 +199,8 @@
   }
 
   /**
-   * Resumes a machine: as in an event loop, first its ended timers run, then its buffered messages.
+   * Resumes a machine: as in an event loop, first its expired timers run, then its buffered
+   * messages.
    */
   public void resume(int node) {
     paused[node] = false;
@@ -220,8 +221,8 @@
   }
 
   /**
-   * Runs the next action. If none is due before {@code end}, sets the clock to {@code end} and
-   * returns false.
+   * Runs the next action that is due at {@code end} or before and returns true. If there is none,
+   * sets the clock to {@code end} and returns false.
    */
   public boolean step(long end) {
     while (true) {
--- a/src/main/java/umberrun/works/Ledger.java
+++ b/src/main/java/umberrun/works/Ledger.java
@@ -61,10 +61,10 @@
     HELD,
     /** Ended early by an operator. */
     CANCELLED,
-    /** All of its machines are through. */
+    /** All of its machines are done, skipped or failed. */
     ENDED;
 
-    /** Whether no further machine of the plan goes out. */
+    /** Whether the plan is cancelled or ended, so that no further machine of it will go out. */
     public boolean isOver() {
       return this == CANCELLED || this == ENDED;
     }
@@ -138,8 +138,8 @@
    * A machine of a plan.
    *
    * @param plan id of the plan
-   * @param startedAtMillis its last start as the worker list had it when the machine went out; a
-   *     later start means that it is back
+   * @param startedAtMillis its last start as the worker list had it when the machine went out, 0
+   *     while not known; a later start means that it is back
    * @param banStep ledger step by which it went out, 0 before
    * @param overdue whether it has stayed in its stage for longer than the plan allows
    * @param forcedMembers front ends that an operator counts as having confirmed although they did
@@ -536,7 +536,10 @@
         .withEntry("holder", name + " overdue", holderFence);
   }
 
-  /** Stops a running plan until the reason has passed; no further machine goes out. */
+  /**
+   * Stops a running plan until the reason has passed or an operator resumes it; no further machine
+   * goes out.
+   */
   public Ledger hold(long holderFence, String id, String reason) {
     return changeByHolder(holderFence, id, State.RUNNING, State.HELD, reason);
   }
@@ -546,7 +549,7 @@
     return changeByHolder(holderFence, id, State.HELD, State.RUNNING, "");
   }
 
-  /** Ends a plan all of whose machines are through. */
+  /** Ends a plan whose machines are all done, skipped or failed. */
   public Ledger endPlan(long holderFence, String id) {
     Ledger next = changeByHolder(holderFence, id, State.RUNNING, State.ENDED, "");
     if (next.machines.stream().anyMatch(m -> m.plan.equals(id) && !m.stage.isOver())) {
--- a/src/main/java/umberrun/works/MachineOrder.java
+++ b/src/main/java/umberrun/works/MachineOrder.java
@@ -197,7 +197,8 @@
 
   /**
    * Where a copy of a function of this machine is to be loaded: on the ready machine of the same
-   * hall with the fewest calls in flight, else on one of any hall; null if there is none.
+   * hall with the fewest calls in flight, else on one of any hall; null if there is none. Machines
+   * in an unfinished stage of a plan are not chosen.
    */
   public static String target(
       String machine, Ledger ledger, MachineView view, List<FrontEndReport> reports) {
--- a/src/main/java/umberrun/works/PlanExecutor.java
+++ b/src/main/java/umberrun/works/PlanExecutor.java
@@ -38,6 +38,7 @@
    * Asks a front end to have a function loaded on another machine, before the machine with the last
    * copy goes out.
    *
+   * @param function its hexadecimal id
    * @param to name of the machine
    * @param member name of the front end
    */
--- a/src/main/java/umberrun/works/PlanParticipant.java
+++ b/src/main/java/umberrun/works/PlanParticipant.java
@@ -24,6 +24,9 @@
 
   private boolean accompanied;
 
+  /**
+   * @param self this process
+   */
   public PlanParticipant(Ledger.Member self) {
     this.self = self;
   }
--- a/src/main/java/umberrun/works/Stage.java
+++ b/src/main/java/umberrun/works/Stage.java
@@ -10,7 +10,7 @@
 public enum Stage {
   /** Not started yet. */
   WAITING,
-  /** The last loaded copies of its functions are being loaded on other machines. */
+  /** Functions in use that only this machine has loaded are being loaded on other machines. */
   MOVING,
   /** Front ends have to stop sending to it. */
   GOING,
--- a/src/main/java/umberrun/works/net/WorksManager.java
+++ b/src/main/java/umberrun/works/net/WorksManager.java
@@ -129,7 +129,10 @@
   /** Null unless this front end holds the duty. */
   private PlanExecutor executor;
 
-  /** The fence under which this front end may act, or -1; asked right before each act. */
+  /**
+   * The fence under which this front end may act, or -1; asked right before each act. Null until it
+   * first holds the duty.
+   */
   private LongSupplier activeFence;
 
   /**
@@ -468,7 +471,7 @@
             });
   }
 
-  /** Sends a report to all members, and keeps it if this front end drives. */
+  /** Sends a report to all living members, and keeps it if this front end holds the duty. */
   private void report() {
     Map<String, Integer> inFlight = dispatcher.inFlightByWorker();
     boolean needsCopies =
@@ -645,7 +648,7 @@
   /** Receives the outcome of a change to the ledger. */
   private interface ChangeHandler {
     /**
-     * @param refusal why the change was not made, or null if it was
+     * @param refusal why the change was not made, or that this is not known; null if it was made
      * @param ledger the ledger as it is now, or null if that is not known
      */
     void completed(String refusal, Ledger ledger);
--- a/src/main/java/umberrun/works/sim/WorksSimulation.java
+++ b/src/main/java/umberrun/works/sim/WorksSimulation.java
@@ -102,7 +102,10 @@
     int processNumber;
     boolean serves;
     PlanExecutor executor;
+
+    /** -1 unless this front end believes that it holds the duty. */
     long fence = -1;
+
     boolean stepPending;
 
     FrontEnd(int number) {
@@ -303,7 +306,10 @@
   private final List<SimulatedMachine> simulatedMachines = new ArrayList<>();
   private final int register;
 
-  /** Twice the number of machines, so that many copies are the last one; few with few machines. */
+  /**
+   * Twice the number of machines, so that many copies are the last one; {@link #MIN_FUNCTIONS} with
+   * at most as many machines.
+   */
   private final int functionCount;
 
   private Ledger ledger = Ledger.EMPTY;
@@ -398,8 +404,8 @@
   // ---------------------------------------------------------------- the register and the lease
 
   /**
-   * Applies a step to the ledger in the register, unless the step is refused, and passes the ledger
-   * on with its version; null if it is not known. No answer comes if a message is lost.
+   * Applies a step to the ledger in the register, unless the step is refused, and passes on the
+   * ledger with its version. No answer comes if a message is lost or the register is unreachable.
    */
   private void change(int from, UnaryOperator<Ledger> step, BiConsumer<Long, Ledger> then) {
     boolean[] made = new boolean[1];
@@ -669,7 +675,7 @@
     return frontEnds.size();
   }
 
-  /** For failure messages: which front ends block machines by the holder, and the ledger. */
+  /** For failure messages: which front ends the holder waits for, and the ledger. */
   public String describeProgress() {
     StringBuilder text = new StringBuilder();
     for (FrontEnd frontEnd : frontEnds) {
